--- a/src/libplatform/announcer.cpp
+++ b/src/libplatform/announcer.cpp
@@ -13,10 +13,10 @@
 
     using nlohmann::json;
 
-    /// A renewal each third of the lease: two may be lost before the lease lapses.
+    /// Renewals in each lease duration. With three, the lease survives two lost renewals.
     constexpr Millis renewalsPerLease = 3;
 
-    /// A presence object with the name of the process that wrote it, which other readers ignore.
+    /// A presence object and the id of the process that wrote it, which other readers ignore.
     struct PresenceRecord {
         Presence presence;
         std::string announceId;
@@ -40,9 +40,9 @@
 
 }
 
-/// One platform call at a time: step() looks at what is known and does the next thing that is missing. A failed call
-/// makes what it touched unknown again, so that the next step reads it back before it writes; a lost answer is settled
-/// by that.
+/// Makes one platform call at a time: step() starts the next call that the known state requires. A failed write
+/// resets the known versions, so that the next steps read the objects before they write again; this also resolves writes
+/// whose response was lost.
 struct Announcer::Private {
     Private(asio::io_context& ioContext, const PlatformOptions& platformOptions, Presence wantedPresence, Handlers announcerHandlers)
         : client(ioContext, platformOptions)
@@ -85,18 +85,18 @@
     std::string announceId;
     std::function<void()> onWithdrawn;
 
-    /// Versions of the two objects as last read or written; nothing when they must be read before the next write.
+    /// Versions of the two objects as last read or written; unset when the object must be read before the next write.
     std::optional<ObjectVersion> presenceVersion;
     std::optional<ObjectVersion> leaseVersion;
-    /// What the presence object holds, if it is ours.
+    /// The content of the presence object, if this process wrote it.
     std::optional<Presence> written;
-    /// The highest incarnation that was given out by anyone, as far as read.
+    /// The highest incarnation that any process has allocated, as far as read.
     Incarnation highest = 0;
     std::uint64_t renewals = 0;
     Millis renewalsSinceCheck = 0;
     bool hasLease = false;
     bool isRenewalDue = false;
-    /// Whether nothing is to be done until the next renewal.
+    /// Whether the only pending action is the next renewal.
     bool isIdle = false;
     bool isWithdrawing = false;
     bool isStopped = false;
@@ -141,8 +141,8 @@
     leaseVersion = version;
     highest = std::max(highest, lease.incarnation);
     hasLease = isMine(lease) && lease.incarnation == wanted.token.incarnation;
-    // Failure: this process was paused for longer than its lease, and another has spoken for the upstream since. It
-    // shows as a lease of a larger incarnation. Going on would give two owners to one upstream's work.
+    // A larger incarnation in the lease means that this process was paused for longer than its lease and another process
+    // has announced the upstream since. Continuing would give the upstream two owners.
     if (wanted.token.incarnation != 0 && lease.incarnation > wanted.token.incarnation)
         fence({ wanted.token.upstream, lease.incarnation });
     else
@@ -183,9 +183,9 @@
         handlers.onAnnounced(*written);
 }
 
-// The incarnation is given out here: one above all that were read, under the condition that the object is still what
-// was read. Of two processes that read the same, one fails the condition and reads again. Once given out it is kept: an
-// announcement that somebody deleted is written again as it was, since flows hold its token.
+// Allocates the incarnation: one above the highest that was read, written on the condition that the object has not changed
+// since. Of two processes that read the same version, one fails the condition and reads again. Once allocated, the
+// incarnation is kept: a deleted announcement is written again unchanged, since flows refer to its token.
 void Announcer::Private::writePresence()
 {
     const bool isFirst = wanted.token.incarnation == 0;
@@ -223,7 +223,7 @@
         hasLease = true;
         isRenewalDue = false;
         ++renewals;
-        // Once a lease the announcement is read too: nothing else would show that somebody deleted it.
+        // Once per lease duration the presence object is read as well, to detect that it was deleted.
         if (++renewalsSinceCheck >= renewalsPerLease)
             presenceVersion.reset();
         succeed();
@@ -299,7 +299,7 @@
 void Announcer::setState(MemberState state)
 {
     m_d->wanted.state = state;
-    // A call under way ends in a step of its own; only the wait for the next renewal is cut short.
+    // A pending call runs the next step itself; only the wait for the next renewal has to be cut short.
     if (m_d->isIdle && m_d->written && m_d->written->state != state)
         m_d->stepSoon();
 }
@@ -313,7 +313,7 @@
     }
     m_d->isWithdrawing = true;
     m_d->limit.start(limit, [this] { m_d->finishWithdrawal(); });
-    // Whatever was under way may or may not take effect: both objects are read again first.
+    // A cancelled write may still take effect, so both objects are read again first.
     m_d->client.cancelAll();
     m_d->presenceVersion.reset();
     m_d->leaseVersion.reset();
--- a/src/libplatform/announcer.h
+++ b/src/libplatform/announcer.h
@@ -8,15 +8,15 @@
 
 namespace kingcuptrail {
 
-/// Announces one upstream under a lease and keeps it renewed. The incarnation is given out by the conditional update of
-/// the presence object: one more than the object held before. Renewals write a separate object of kind `lease`, so that
-/// they wake no watch. Retries by itself while the platform is down.
+/// Announces one upstream in the platform and renews its lease. The incarnation is allocated by a conditional update of the
+/// presence object: one more than the highest incarnation found there or in the lease. Renewals write a separate object of
+/// kind `lease`, so that they do not complete watches of the presence objects. Retries while the platform is unavailable.
 class Announcer {
 public:
     struct Handlers {
-        /// The announcement stands; the presence carries the incarnation that was given out.
+        /// The announcement was written; the presence holds the allocated incarnation.
         std::function<void(const Presence&)> onAnnounced;
-        /// Another process has announced the same upstream later: this one must take no new work.
+        /// Another process has announced the same upstream with a larger incarnation: this process must accept no new work.
         std::function<void(const OwnerToken& newer)> onFenced;
     };
 
@@ -26,10 +26,10 @@
     Announcer(const Announcer&) = delete;
     Announcer& operator=(const Announcer&) = delete;
 
-    /// Writes a new state, draining for example, as soon as the platform takes it.
+    /// Announces a new state, such as draining. The write is retried until the platform accepts it.
     void setState(MemberState state);
 
-    /// Removes the announcement; `done` is called when it is gone, or given up after `limit` milliseconds.
+    /// Removes the announcement. Calls `done` when it is removed, or after `limit` milliseconds without success.
     void withdraw(Millis limit, std::function<void()> done);
 
     PlatformError lastReason() const;
--- a/src/libplatform/config.cpp
+++ b/src/libplatform/config.cpp
@@ -36,7 +36,7 @@
         };
     }
 
-    /// The document has passed the schema, so that each field that is there has its type and range.
+    /// `document` must conform to the schema, so that every field present has the right type and range.
     ServiceConfig serviceFromJson(const json& document)
     {
         ServiceConfig service;
@@ -66,7 +66,7 @@
         return config;
     }
 
-    /// The checks that a schema cannot express: between fields, and inside addresses.
+    /// The checks that the JSON Schema cannot express: relations between fields, and the syntax of addresses.
     class CrossCheck {
     public:
         CrossCheck(const Config& config, std::vector<Fault>& faults)
@@ -84,7 +84,7 @@
             const bool allOut = std::all_of(m_config.dataCentres.begin(), m_config.dataCentres.end(),
                 [](const DataCentreConfig& dataCentre) { return dataCentre.out; });
             if (allOut)
-                add(FaultKind::Inconsistent, "/dataCentres", "Every data centre is out: nothing would be served.");
+                add(FaultKind::Inconsistent, "/dataCentres", "Every data centre is taken out of service; no service would be available.");
         }
 
     private:
@@ -92,21 +92,21 @@
         {
             checkName(dataCentre.name, placeOf(place, "name"));
             if (!m_dataCentres.insert(dataCentre.name).second)
-                add(FaultKind::DuplicateName, placeOf(place, "name"), "Another data centre is named " + dataCentre.name + ".");
+                add(FaultKind::DuplicateName, placeOf(place, "name"), "Another data centre has the name " + dataCentre.name + ".");
         }
 
         void checkService(const ServiceConfig& service, const std::string& place)
         {
             checkName(service.name, placeOf(place, "name"));
             if (!m_services.insert(service.name).second)
-                add(FaultKind::DuplicateName, placeOf(place, "name"), "Another service is named " + service.name + ".");
+                add(FaultKind::DuplicateName, placeOf(place, "name"), "Another service has the name " + service.name + ".");
             checkAddress(service, placeOf(place, "address"));
             std::set<std::string_view> seen;
             for (std::size_t index = 0; index < service.dataCentres.size(); ++index) {
                 const std::string& name = service.dataCentres[index];
                 const std::string at = placeOf(placeOf(place, "dataCentres"), index);
                 if (!m_dataCentres.contains(name))
-                    add(FaultKind::UnknownDataCentre, at, "No data centre is named " + name + ".");
+                    add(FaultKind::UnknownDataCentre, at, "There is no data centre with the name " + name + ".");
                 if (!seen.insert(name).second)
                     add(FaultKind::DuplicateName, at, name + " is listed twice.");
             }
@@ -115,15 +115,15 @@
         void checkName(std::string_view name, const std::string& place)
         {
             if (name.find_first_not_of(nameLetters) != std::string_view::npos || name.starts_with('.'))
-                add(FaultKind::OutOfRange, place, "A name holds letters, digits, '-', '_' and '.', and does not begin with '.'.");
+                add(FaultKind::OutOfRange, place, "A name may contain only letters, digits, '-', '_' and '.', and must not begin with '.'.");
         }
 
-        // Failure: packets to one address reach whichever service a balancer finds first, and so the wrong upstream.
-        // Two services share packets when they have the same port and the same number, or either stands for all numbers.
+        // Two services overlap when they have the same port and the same IPv4 address, or when one of them has the wildcard
+        // address 0.0.0.0. Packets would then reach the service that a balancer finds first, and so the wrong upstream.
         void checkAddress(const ServiceConfig& service, const std::string& place)
         {
             if (service.address == 0) {
-                add(FaultKind::BadAddress, place, "Not an IPv4 number and a port other than 0, as 10.0.0.1:443.");
+                add(FaultKind::BadAddress, place, "Not an IPv4 address with a port other than 0, such as 10.0.0.1:443.");
                 return;
             }
             const std::uint64_t port = service.address & portMask;
@@ -132,9 +132,9 @@
             const auto other = number == 0 ? numbers.begin() : numbers.find(number);
             const auto wildcard = numbers.find(0);
             if (other != numbers.end())
-                add(FaultKind::OverlappingAddress, place, "The address is also that of service " + other->second + ".");
+                add(FaultKind::OverlappingAddress, place, "The address is already used by service " + other->second + ".");
             else if (wildcard != numbers.end())
-                add(FaultKind::OverlappingAddress, place, "Service " + wildcard->second + " has this port at every number.");
+                add(FaultKind::OverlappingAddress, place, "Service " + wildcard->second + " already uses this port on all addresses (0.0.0.0).");
             numbers.emplace(number, service.name);
         }
 
@@ -147,7 +147,7 @@
         std::vector<Fault>& m_faults;
         std::set<std::string_view> m_dataCentres;
         std::set<std::string_view> m_services;
-        /// Port, then IPv4 number, then the name of the first service there.
+        /// Maps port and IPv4 address to the name of the first service that has them.
         std::map<std::uint64_t, std::map<std::uint64_t, std::string>> m_numbersByPort;
     };
 
--- a/src/libplatform/config.h
+++ b/src/libplatform/config.h
@@ -41,7 +41,7 @@
     };
 };
 
-/// One fault, with its place as a JSON pointer.
+/// One validation error and its location as a JSON pointer (RFC 6901).
 struct Fault {
     FaultKind kind = FaultKind::NotJson;
     std::string place;
@@ -50,16 +50,16 @@
 
 struct ServiceConfig {
     std::string name;
-    /// Where end users connect.
+    /// The address that end users connect to.
     ServiceAddress address = 0;
     std::vector<std::string> dataCentres;
-    /// Requests an upstream can work on at once when warm.
+    /// Requests that a warm upstream can process concurrently.
     std::uint32_t slots = 1;
-    /// Requests that may wait at one upstream.
+    /// Requests that may be queued at one upstream.
     std::uint32_t queueLimit = 64;
-    /// Flows one upstream may hold.
+    /// Open flows that one upstream may hold.
     std::uint32_t flowLimit = 20000;
-    /// How long a warm-up from one slot to all takes at least, in milliseconds.
+    /// The minimum duration of a warm-up from one slot to all, in milliseconds.
     Millis warmUp = 5000;
 
     bool operator==(const ServiceConfig&) const = default;
@@ -67,16 +67,16 @@
 
 struct DataCentreConfig {
     std::string name;
-    /// Taken out by operators: gets no packets, and flows that end there are given up.
+    /// Taken out of service by an operator: it gets no packets, and the flows of its upstreams are given up.
     bool out = false;
-    /// Whether the file said which; an apply leaves a data centre whose state is not stated as it is, so that a file
-    /// written before an operator took the data centre out does not bring it back.
+    /// Whether the file contains `out`. Applying a file without it keeps the data centre's current state, so that a file
+    /// written before an operator took the data centre out of service does not bring it back.
     bool outStated = true;
 
     bool operator==(const DataCentreConfig& other) const { return name == other.name && out == other.out; }
 };
 
-/// A whole configuration, as operators apply it.
+/// A complete configuration, as an operator applies it.
 struct Config {
     ConfigVersion version = 0;
     std::vector<ServiceConfig> services;
@@ -89,25 +89,26 @@
     bool operator==(const Config&) const = default;
 };
 
-/// Reads an operator's file: schema by a library, then cross-checks. Nothing when there is any fault; `faults` lists all.
+/// Parses an operator's configuration file and validates it, first against the JSON Schema, then for consistency between
+/// fields. Nothing when it has a fault; all faults are added to `faults`.
 std::optional<Config> parseConfig(std::string_view json, std::vector<Fault>& faults);
 
-/// The canonical JSON of a configuration, version included; parseConfig() reads it back.
+/// The JSON text of a configuration, including its version; parseConfig() accepts it.
 std::string toJson(const Config& config);
 
-/// The same configuration with services, data centres and each service's data centres in the order of their names.
+/// The same configuration with services, data centres and each service's data centres sorted by name.
 Config normalised(Config config);
 
-/// The canonical JSON of one service, as its immutable object in the platform holds it.
+/// The JSON text of one service, which is the content of its immutable object in the platform.
 std::string toJson(const ServiceConfig& service);
-/// Reads a service's object back; nothing when it is not one.
+/// Parses the JSON text of one service; nothing when it is not valid.
 std::optional<ServiceConfig> parseService(std::string_view json);
 
-/// Parses "127.0.0.1:80"; nothing when it is not an IPv4 address and port.
+/// Parses an IPv4 address and port such as "127.0.0.1:80"; nothing when the text is not one or the port is 0.
 std::optional<ServiceAddress> parseServiceAddress(std::string_view text);
 std::string toString(ServiceAddress address);
 
-/// The stable id of an upstream's name; never 0.
+/// A hash of the upstream's name that is the same in every process; never 0.
 UpstreamId upstreamIdOf(std::string_view name);
 
 }
--- a/src/libplatform/configapply.cpp
+++ b/src/libplatform/configapply.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-    /// How often a reading begins again because the manifest was replaced under it.
+    /// How often a fetch reads the manifest before it gives up because service objects that it names were removed meanwhile.
     constexpr unsigned maxFetchRounds = 5;
 
     std::vector<DataCentreConfig> withState(std::vector<DataCentreConfig> dataCentres, const std::string& name, bool out)
@@ -27,8 +27,8 @@
 
 }
 
-/// A change goes through: read the manifest, make the next one of it, write missing service objects, write the manifest.
-/// Every failure that leaves the outcome open goes back to the reading.
+/// The steps of a change: read the manifest, compute the next one, write the missing service objects, write the manifest.
+/// After a failure that leaves the outcome unknown it starts again with reading the manifest.
 struct ConfigApply::Private {
     Private(asio::io_context& context, const PlatformOptions& options, ApplyOptions changeOptions)
         : client(context, options)
@@ -45,7 +45,7 @@
     void start(Handler onDone);
     void readManifest();
     void handleManifest(const PlatformObject& object);
-    /// The manifest to write next; nothing when the change has ended instead.
+    /// The manifest to write next; nothing when the change has finished without a write.
     std::optional<Manifest> makeNext(const Manifest& present);
     std::optional<Manifest> makeNextOfConfig(const Manifest& present);
     std::optional<Manifest> makeNextOfState(const Manifest& present);
@@ -65,19 +65,19 @@
     ApplyOptions applyOptions;
     Handler handler;
 
-    /// What is wanted: a whole configuration, or one data centre's state.
+    /// The requested change: a whole configuration, or, if that is unset, the state of one data centre.
     std::optional<Config> wanted;
     std::string dataCentre;
     bool out = false;
 
-    /// Version of the manifest's object that this change was decided on, as first read.
+    /// Version of the manifest object that this change is based on: the first one read.
     std::optional<ObjectVersion> basisObject;
     Manifest next;
     ObjectVersion presentObject = 0;
     std::map<std::string, std::string> servicesToWrite;
-    /// Set once the manifest is written and only clearing away is left.
+    /// Set once the manifest is written and only the removal of old service objects remains.
     std::optional<ConfigVersion> accepted;
-    /// Whether a manifest write may have taken effect without an answer.
+    /// Whether a write of the manifest got no response and may have taken effect.
     bool isOutcomeOpen = false;
     PlatformError platformError = PlatformError::None;
 };
@@ -101,9 +101,8 @@
     });
 }
 
-// Failure: the answer to the manifest's write was lost after it took effect, and a second write would be refused as a
-// conflict with the first. It shows as this change's id among the manifest's recent applies; it is then accepted, also
-// when others were accepted since.
+// If the response to the write of the manifest is lost after it took effect, a second write would fail as a conflict with the
+// first. This change's id among the manifest's recent applies shows that it was accepted, even if others were accepted since.
 void ConfigApply::Private::handleManifest(const PlatformObject& object)
 {
     const auto present = object.value ? parseManifest(*object.value) : std::nullopt;
@@ -158,8 +157,8 @@
     return made;
 }
 
-// The race with another operator: the state is set on whatever manifest is there by then, so that his change stays. If
-// he has set the same state meanwhile, makeNext() finds nothing to write.
+// Sets the state in the manifest as last read, so that a concurrent change by another operator is kept. If that change set
+// the same state, makeNext() finds nothing to write.
 std::optional<Manifest> ConfigApply::Private::makeNextOfState(const Manifest& present)
 {
     if (present.version == 0) {
@@ -183,7 +182,7 @@
     });
 }
 
-/// An urgent change of one data centre's state clears nothing away.
+/// A change of one data centre's state is urgent and therefore removes no old objects.
 void ConfigApply::Private::noteRemovable()
 {
     auto removable = wanted ? takeRemovable(next) : std::vector<std::string> {};
--- a/src/libplatform/configapply.h
+++ b/src/libplatform/configapply.h
@@ -11,20 +11,21 @@
 /// Why a configuration was not accepted.
 enum class ApplyError : std::uint8_t {
     None,
-    /// Nothing was changed: the platform could not be reached.
+    /// The platform could not be reached. Nothing was changed.
     PlatformUnreachable,
-    /// No answer came within the limit, also not on reading back: it may or may not be accepted.
+    /// The response to the write was lost and the manifest could not be read again within the limit: the change may or may not
+    /// have been accepted.
     OutcomeUnknown,
-    /// Another apply was accepted in between; the report names its version. Nothing was changed.
+    /// Another change was accepted concurrently; the report holds its version. Nothing was changed.
     Conflict,
-    /// No configuration was accepted yet.
+    /// No configuration has been accepted yet.
     NoConfig,
     UnknownDataCentre,
-    /// No data centre would be left to serve.
+    /// The change would take the last data centre out of service.
     AllOut,
-    /// What the platform holds is not a configuration.
+    /// The manifest object in the platform cannot be parsed.
     BadManifest,
-    /// The platform refused the write, for its size for example.
+    /// The platform rejected the write, for example because of its size.
     Refused,
 };
 
@@ -45,23 +46,24 @@
 
 struct ApplyReport {
     ApplyError error = ApplyError::None;
-    /// The last trouble with the platform, also when it was overcome.
+    /// The last error of a platform call, even if a retry succeeded.
     PlatformError platformError = PlatformError::None;
-    /// The version accepted; for a conflict the version it lost to.
+    /// The accepted version; after a conflict, the version of the change that was accepted instead.
     ConfigVersion version = 0;
-    /// False when the platform held the same already and nothing was written.
+    /// False when the platform already held the same configuration and nothing was written.
     bool changed = false;
 };
 
 struct ApplyOptions {
-    /// Names this apply in the manifest, so that a lost answer is settled by reading back; made up when empty.
+    /// Identifies this change in the manifest, so that reading the manifest shows whether a write without a response took
+    /// effect. Generated when empty.
     std::string applyId;
-    /// How long to go on trying while the platform does not answer, in milliseconds.
+    /// How long to retry while the platform does not respond, in milliseconds.
     Millis limit = 15000;
 };
 
-/// Changes the accepted configuration: writes the service objects that are missing, then replaces the manifest by one
-/// conditional write. It is accepted as a whole by that write or not at all. One change for each object of this class.
+/// Changes the accepted configuration: writes the missing service objects, then replaces the manifest by one conditional
+/// write, which makes the change atomic. Each object of this class performs one change.
 class ConfigApply {
 public:
     using Handler = std::function<void(const ApplyReport&)>;
@@ -71,12 +73,12 @@
     ConfigApply(const ConfigApply&) = delete;
     ConfigApply& operator=(const ConfigApply&) = delete;
 
-    /// Accepts a whole configuration, but for states of data centres that it does not state. The loser of a race gets a
-    /// Conflict: its operator decided on what is no longer so.
+    /// Replaces the whole configuration, except that data centres without `out` keep their state. Ends in a Conflict if another
+    /// change is accepted concurrently, since the operator based the decision on a configuration that is no longer in force.
     void apply(Config wanted, Handler handler);
 
-    /// Takes one data centre out or brings it back and leaves the rest as it is, whatever that is by then: a change that
-    /// was accepted meanwhile is kept, and the state is set on top of it.
+    /// Takes one data centre out of service or brings it back. Applies to the configuration accepted at the time of the write,
+    /// so that concurrent changes are kept.
     void setOut(std::string dataCentre, bool out, Handler handler);
 
 private:
@@ -84,7 +86,8 @@
     std::unique_ptr<Private> m_d;
 };
 
-/// Reads the accepted configuration once; nothing with the reason, NotFound when there is none yet.
+/// Reads the accepted configuration once. On failure the handler gets no configuration and the error; NotFound means that none
+/// was accepted yet.
 class ConfigFetch {
 public:
     using Handler = std::function<void(std::optional<Config>, PlatformError)>;
--- a/src/libplatform/configdiff.h
+++ b/src/libplatform/configdiff.h
@@ -27,23 +27,23 @@
     };
 };
 
-/// One difference between two configurations, as operators read it.
+/// One difference between two configurations, for display to an operator.
 struct ConfigChange {
     ChangeKind kind = ChangeKind::ServiceChanged;
     std::string name;
-    /// For a changed service its fields with old and new value, as "slots 5 -> 6".
+    /// For a changed service the changed fields with old and new value, such as "slots 5 -> 6".
     std::string detail;
 
     bool operator==(const ConfigChange&) const = default;
 };
 
-/// What would change, in the order of names; the order within the files means nothing.
+/// The differences, sorted by name. The order of entries in the two configurations is not compared.
 std::vector<ConfigChange> diffConfigs(const Config& from, const Config& to);
 
-/// The wanted configuration, with the present state of each data centre whose state it does not state.
+/// `wanted`, where each data centre without an explicit `out` gets its state from `present`.
 Config withKeptStates(Config wanted, const std::vector<DataCentreConfig>& present);
 
-/// Whether no data centre is left to serve.
+/// Whether there are data centres and all of them are taken out of service.
 bool isAllOut(const std::vector<DataCentreConfig>& dataCentres);
 
 }
--- a/src/libplatform/configreader.cpp
+++ b/src/libplatform/configreader.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 
-    /// Load: a daemon that starts and holds nothing, or a change of many services. Harm: one read for each of two
-    /// thousand services from each of seven hundred daemons would keep the platform busy for minutes. Limit: beyond
-    /// this many the whole kind is listed in one call, which costs more bytes but a constant number of calls.
+    /// Service objects that are read individually; if more are missing, one call lists all objects of the kind. That transfers
+    /// more bytes but takes a constant number of calls: when seven hundred daemons start, or many services change at once,
+    /// individual reads of two thousand services each would keep the platform busy for minutes.
     constexpr std::size_t maxSingleReads = 8;
 
 }
--- a/src/libplatform/configreader.h
+++ b/src/libplatform/configreader.h
@@ -8,15 +8,16 @@
 
 namespace kingcuptrail {
 
-/// Turns a manifest into the whole configuration: fetches the service objects that are not held yet, and holds them for
-/// the next time. Lives and dies with its client, whose calls it makes.
+/// Assembles the configuration that a manifest describes: fetches the service objects that are not cached and caches them for
+/// the next manifest. The client must outlive it.
 class ConfigReader {
 public:
     using Handler = std::function<void(std::optional<Config>, PlatformError)>;
 
     explicit ConfigReader(PlatformClient& client);
 
-    /// One reading at a time. NotFound means that a later manifest has replaced this one: read it again.
+    /// Must not be called again before the handler was called. NotFound means that a service object was removed because a later
+    /// manifest replaced this one: the manifest must be read again.
     void read(Manifest manifest, Handler handler);
 
 private:
--- a/src/libplatform/configschema.h
+++ b/src/libplatform/configschema.h
@@ -4,10 +4,10 @@
 
 namespace kingcuptrail {
 
-/// JSON Schema of an operators' file. A schema that matches nothing ("not" of the empty schema) stands where the usual
-/// form is `additionalProperties: false`: the validator then reports every unknown field and not only the first.
-/// Limits: a name fits a file name and a label; a queue, a slot count or a flow limit beyond these would not fit the
-/// memory of one agent; a warm-up beyond an hour is a mistyped unit.
+/// JSON Schema of an operator's configuration file. `additionalProperties` is a schema that matches nothing ("not" of the
+/// empty schema) instead of `false`, so that the validator reports every unknown field and not only the first. The limits:
+/// names must fit into file names and metric labels; larger queues, slot counts or flow limits would exceed the memory of one
+/// agent; a warm-up of more than an hour is most likely a mistaken unit.
 constexpr std::string_view configSchema = R"json({
   "type": "object",
   "required": ["services", "dataCentres"],
--- a/src/libplatform/configwatcher.cpp
+++ b/src/libplatform/configwatcher.cpp
@@ -46,9 +46,9 @@
     });
 }
 
-// Load: changes that follow one another closely, or a platform that answers watches without waiting. Harm: a call after
-// the other from each daemon of the fleet. Limit: a pause after each answer, short against the seconds in which a change
-// must be in force.
+// Pauses before the next watch, so that changes in quick succession, or a platform that responds to watches without waiting,
+// do not cause back-to-back calls from every daemon. The pause is short compared to the seconds within which a change must be
+// in force.
 void ConfigWatcher::Private::watchLater()
 {
     delay.start(watchPause, [this] { watch(); });
@@ -64,8 +64,8 @@
     });
 }
 
-// Failure: news of an older configuration arrives late, from a read that was slow or from a store that was set back.
-// It shows as a manifest version at or below the one reported; it is passed over, so that no daemon reverts.
+// An older configuration can arrive late, from a slow read or from a store that was restored from a backup. A manifest whose
+// version is not above the reported one is ignored, so that no daemon reverts to it.
 void ConfigWatcher::Private::handleManifests(const ObjectList& list)
 {
     seen = list.version;
@@ -95,7 +95,7 @@
     reported = config.version;
     if (!once)
         watchLater();
-    // Last, since the handler may destroy this watcher.
+    // Must be the last action, since the handler may destroy this watcher.
     const OnConfig handler = onConfig;
     handler(config);
 }
--- a/src/libplatform/configwatcher.h
+++ b/src/libplatform/configwatcher.h
@@ -8,14 +8,14 @@
 
 namespace kingcuptrail {
 
-/// Follows the accepted configuration: reads the manifest, fetches the service objects it names that are not held yet,
-/// and reports each whole configuration newer than the last. Retries by itself with back-off and jitter while the
-/// platform is down.
+/// Watches the accepted configuration: reads the manifest, fetches the service objects in it that are not cached, and reports
+/// each complete configuration that is newer than the last one reported. Retries with backoff and jitter while the platform is
+/// unavailable.
 class ConfigWatcher {
 public:
     using OnConfig = std::function<void(const Config&)>;
 
-    /// `once` stops after the first whole configuration, for agents, which hear of later ones over their links.
+    /// `once` stops after the first configuration, for agents, which receive later ones over their links to balancers.
     ConfigWatcher(asio::io_context& context, const PlatformOptions& options, OnConfig onConfig, bool once = false);
     ~ConfigWatcher();
     ConfigWatcher(const ConfigWatcher&) = delete;
--- a/src/libplatform/delay.cpp
+++ b/src/libplatform/delay.cpp
@@ -13,7 +13,8 @@
     }
 
     asio::steady_timer timer;
-    /// Replaced at each start: a completion that was already queued when its action was dropped finds its own gone.
+    /// Replaced by each start(). Completions hold a weak pointer, so that one already queued when its action was discarded does
+    /// nothing.
     std::shared_ptr<std::function<void()>> action;
 };
 
--- a/src/libplatform/delay.h
+++ b/src/libplatform/delay.h
@@ -8,8 +8,8 @@
 
 namespace kingcuptrail {
 
-/// Runs one action after a time. Starting again or destroying it drops the action before, also one whose time has just
-/// come.
+/// A timer that runs one action after a delay. start(), cancel() and destruction discard a pending action, even if its delay
+/// has just expired.
 class Delay {
 public:
     explicit Delay(asio::io_context& context);
@@ -25,10 +25,10 @@
     std::unique_ptr<Private> m_d;
 };
 
-/// The waits between retries: doubled at each failure up to a limit.
-/// Load: a whole fleet that lost the platform at the same moment. Harm: without growth it loads a platform that is
-/// coming back up; without jitter it comes back in step. Limits: up to half of each wait is random, and the longest
-/// wait bounds how long after an outage a process may still be behind.
+/// Exponential backoff with jitter: the delay doubles with each failure up to a maximum, and up to half of it is random.
+/// When all processes lose the platform at once, the growth keeps their retries from overloading it as it recovers, and the
+/// jitter keeps them from retrying at the same moment. The maximum bounds how long after an outage a process may still be out
+/// of date.
 class Backoff {
 public:
     Backoff(Millis first, Millis max);
--- a/src/libplatform/deploymentadapter.h
+++ b/src/libplatform/deploymentadapter.h
@@ -10,11 +10,11 @@
 
 namespace kingcuptrail {
 
-/// Why bytes from outside were not taken for what they claim to be.
+/// Why a packet or document from another program could not be decoded.
 enum class DecodeError : std::uint8_t {
     None,
     TooShort,
-    /// The packet's own length and the datagram's differ.
+    /// The length in the packet header does not match the size of the datagram.
     WrongLength,
     BadText,
     MissingField,
@@ -27,33 +27,33 @@
     static constexpr std::array<std::string_view, 7> names { "none", "tooShort", "wrongLength", "badText", "missingField", "wrongType", "outOfRange" };
 };
 
-/// Bytes of a packet without data.
+/// Size of a packet header, and so of a packet without data.
 constexpr std::size_t bareHeadBytes = 36;
 
-/// What an upstream says to its agent over HTTP.
+/// An HTTP request from an upstream to its agent.
 struct UpstreamCall {
     enum class Kind : std::uint8_t {
         Report,
         Farewell,
-        /// A call that this deployment does not know.
+        /// A request that the deployment does not define.
         Unknown,
     };
     Kind kind = Kind::Unknown;
-    /// The id that the call is about; of a report it stands in `report` too.
+    /// The id of the upstream that the request is about; for a report also in `report`.
     std::string id;
     std::optional<UpstreamReport> report;
     DecodeError error = DecodeError::None;
 };
 
-/// All in which one deployment's surroundings differ from another's: the packets of callers and upstreams, the upstreams'
-/// reports, the store and what operators keep there. Translation only; nothing here decides or remembers.
+/// Everything that is specific to one deployment environment: the packet format, the upstreams' reports, the store's API and
+/// the operators' objects in it. The functions only encode and decode; they are stateless and make no decisions.
 struct DeploymentAdapter {
     std::optional<PacketHead> (*decodePacket)(std::span<const std::uint8_t> packet, DecodeError& error) = nullptr;
-    /// Writes the mark that a returned packet brings back.
+    /// Writes the mark, which an upstream leaves in place when it returns the packet.
     void (*setMark)(std::span<std::uint8_t> packet, std::uint32_t mark) = nullptr;
-    /// Makes a packet as its sender wrote it.
+    /// Restores the packet to the form in which its sender wrote it.
     void (*clearMarks)(std::span<std::uint8_t> packet) = nullptr;
-    /// A reset from the service's address to the caller.
+    /// Encodes a reset packet from the service's address to the caller.
     std::array<std::uint8_t, bareHeadBytes> (*encodeReset)(const FlowKey& flow, std::uint32_t sequence) = nullptr;
 
     UpstreamCall (*readUpstreamCall)(const HttpRequest& request) = nullptr;
@@ -61,7 +61,8 @@
     const StoreDialect* store = nullptr;
     std::string_view routesKind;
     std::string_view outagesKind;
-    /// The configuration in the objects of `routesKind`; nothing with the reason when this object is not it.
+    /// Decodes the configuration from an object of `routesKind`. Nothing when the object does not hold it, with an error if it
+    /// should but cannot be decoded.
     std::optional<RouteTable> (*readRoutes)(const PlatformObject& object, DecodeError& error) = nullptr;
 };
 
--- a/src/libplatform/kindwatcher.cpp
+++ b/src/libplatform/kindwatcher.cpp
@@ -44,7 +44,7 @@
 {
     m_client.watch(m_kind, *m_since, [this](const std::optional<ObjectList>& changes, PlatformError reason) {
         if (!changes) {
-            // The history between is gone: a list is the only way to learn what it held.
+            // The store no longer has the history since that version, so all objects are listed again.
             if (reason == PlatformError::Gone)
                 m_since.reset();
             retry(reason);
--- a/src/libplatform/kindwatcher.h
+++ b/src/libplatform/kindwatcher.h
@@ -7,27 +7,27 @@
 
 namespace kingcuptrail {
 
-/// Follows every object of one kind: lists them, then watches, and lists again when the store has dropped the history
-/// between; or, with an interval, lists them again and again, which tells nothing of what was removed. Tries for ever; what
-/// was last told stands meanwhile.
+/// Watches all objects of one kind: lists them, then watches for changes, and lists again when the store no longer has the
+/// history since the last change. With a poll interval it lists periodically instead; removed objects are then only missing
+/// from the list. Retries without limit; until a retry succeeds, the last reported objects remain valid.
 class KindWatcher {
 public:
     struct Handlers {
-        /// All objects of the kind as of the list's version.
+        /// Called with all objects of the kind as of the list's version.
         std::function<void(const ObjectList&)> onList;
-        /// What changed up to the list's version, in order; an object without a value was removed.
+        /// Called with the changes up to the list's version, in order; an object without a value was removed.
         std::function<void(const ObjectList&)> onChanges;
-        /// A call failed; called each time.
+        /// Called for every failed call.
         std::function<void(PlatformError)> onTrouble;
     };
 
-    /// `pollInterval` in milliseconds; 0 means to watch.
+    /// `pollInterval` in milliseconds; 0 means to watch instead of polling.
     KindWatcher(asio::io_context& context, const PlatformOptions& options, std::string kind, Handlers handlers, Millis pollInterval = 0);
 
-    /// Drops what it waits for and lists anew: what was waited for before may never be answered.
+    /// Cancels the pending call, which may never get a response, and lists again.
     void restart();
 
-    /// Whether the last call succeeded; what was told is then as new as the store, or as one interval.
+    /// Whether the last call succeeded. The reported objects are then up to date, or at most one poll interval old.
     bool isCurrent() const { return m_since && m_lastReason == PlatformError::None; }
 
     PlatformError lastReason() const { return m_lastReason; }
--- a/src/libplatform/leaserecord.h
+++ b/src/libplatform/leaserecord.h
@@ -8,17 +8,17 @@
 
 namespace kingcuptrail {
 
-/// Kinds of the objects that announce an upstream and renew its lease, both named by the upstream.
+/// Kinds of the objects that announce an upstream and renew its lease. Both objects have the upstream's name.
 inline const std::string presenceKind = "presence";
 inline const std::string leaseKind = "lease";
 
-/// What a lease object holds. It stays when the announcement is withdrawn, so that its incarnation is never given out
-/// again: packets of old flows still carry it.
+/// Content of a lease object. It remains when the announcement is withdrawn, so that its incarnation is never allocated again:
+/// packets of old flows still carry it.
 struct LeaseRecord {
     Incarnation incarnation = 0;
-    /// Grows with each renewal; what counts for watchers is that the object's version changes.
+    /// Grows with each renewal. Watchers only check that the object's version changes.
     std::uint64_t renewals = 0;
-    /// Names the process that wrote it.
+    /// Identifies the process that wrote the object.
     std::string announceId;
 };
 
--- a/src/libplatform/manifest.cpp
+++ b/src/libplatform/manifest.cpp
@@ -38,7 +38,7 @@
         return objects;
     }
 
-    /// What was retired before and is not named again, and what `previous` named and `next` does not.
+    /// The objects already retired that `next` does not reference again, and those that `previous` references and `next` does not.
     std::vector<ManifestRetired> retiredAfter(const Manifest& previous, const Manifest& next)
     {
         const auto named = objectsOf(next);
--- a/src/libplatform/manifest.h
+++ b/src/libplatform/manifest.h
@@ -8,31 +8,31 @@
 
 namespace kingcuptrail {
 
-/// Kinds and names of the configuration's objects in the platform.
+/// Kinds and names of the objects that hold the configuration in the platform.
 inline const std::string manifestKind = "manifest";
 inline const std::string manifestName = "current";
 inline const std::string serviceObjectKind = "serviceconfig";
 
-/// How many accepted applies a manifest remembers. An operator whose answer was lost finds his own among them, also
-/// when others were accepted since; 32 outlast any retry at four thousand changes a day.
+/// How many accepted changes a manifest lists. An operator's program whose response was lost finds its own change among them,
+/// even if others were accepted since. At four thousand changes a day, 32 cover more time than any retry takes.
 constexpr std::size_t rememberedApplies = 32;
 
-/// How many manifests later an object that none of them names is removed. A daemon that reads an older manifest than
-/// that finds the object gone and reads the manifest again; the number only spares it the second reading.
+/// How many versions after an object was last referenced it is removed. A daemon that is still reading an older manifest finds
+/// the object missing and reads the manifest again; the delay only makes that rare.
 constexpr ConfigVersion keptManifests = 8;
 
-/// Load: a change of all two thousand services at once. Harm: removing as many old objects would hold the operator up
-/// and take the platform's writes. Limit: a batch for each apply, well above the few objects that an ordinary apply
-/// retires, so that the rest is worked off by the next ones.
+/// Maximum number of old objects that one apply removes. After a change of all two thousand services, removing all old objects
+/// at once would delay the operator and use up the platform's write capacity. The limit is well above the few objects that an
+/// ordinary apply retires, so that later applies remove the rest.
 constexpr std::size_t removedAtOnce = 32;
 
-/// Retired objects that a manifest remembers; beyond it the oldest are left in the platform, so that the manifest stays
-/// far below the platform's limit of a megabyte.
+/// Maximum number of retired objects that a manifest lists, which keeps it far below the platform's size limit of a megabyte.
+/// When there are more, the oldest are dropped from the list and remain in the platform.
 constexpr std::size_t rememberedRetired = 4000;
 
 struct ManifestService {
     std::string name;
-    /// The immutable object that holds the service; its name changes with its content.
+    /// Name of the immutable object that holds the service; it contains a hash of the content.
     std::string object;
 
     bool operator==(const ManifestService&) const = default;
@@ -43,43 +43,44 @@
     ConfigVersion version = 0;
 };
 
-/// An object that no manifest has named since this version.
+/// An object that no manifest has referenced since version `since`.
 struct ManifestRetired {
     std::string object;
     ConfigVersion since = 0;
 };
 
-/// The accepted configuration: one small object, replaced by one conditional write, that names all the others.
+/// The accepted configuration: one small object that references all service objects and is replaced by one conditional write.
 struct Manifest {
     ConfigVersion version = 0;
     std::string applyId;
     std::vector<ManifestService> services;
     std::vector<DataCentreConfig> dataCentres;
-    /// The last accepted applies, newest last.
+    /// The last accepted changes, newest last.
     std::vector<ManifestApply> recent;
-    /// Objects to be removed some manifests later, oldest first.
+    /// Objects that are no longer referenced and will be removed by a later apply, oldest first.
     std::vector<ManifestRetired> retired;
 
     const DataCentreConfig* findDataCentre(std::string_view name) const;
-    /// The version that an apply was accepted as, if it is remembered.
+    /// The version that the change with this id created, if it is still listed.
     std::optional<ConfigVersion> versionOf(std::string_view applyId) const;
 };
 
 std::optional<Manifest> parseManifest(std::string_view json);
 std::string toJson(const Manifest& manifest);
 
-/// The manifest that follows `previous`.
+/// The successor of `previous` with the given content.
 Manifest nextManifest(const Manifest& previous, std::vector<ManifestService> services, std::vector<DataCentreConfig> dataCentres, const std::string& applyId);
-/// The same for a normalised configuration.
+/// The successor of `previous` for a normalised configuration.
 Manifest nextManifest(const Manifest& previous, const Config& config, const std::string& applyId);
 
-/// Takes out of a manifest that is to be written the retired objects that are old enough to be removed, a batch at most.
+/// Removes from a manifest that is about to be written the retired objects that are old enough to be deleted, limited to one
+/// batch, and returns their names.
 std::vector<std::string> takeRemovable(Manifest& next);
 
-/// Name of the object that holds a service: the service's name and the hash of its content.
+/// Name of the object that holds a service: the service's name and a hash of its JSON text.
 std::string serviceObjectName(const ServiceConfig& service);
 
-/// Reads a service's object; nothing when its content does not match its name.
+/// Parses a service object; nothing when the content does not match the hash in the object's name.
 std::optional<ServiceConfig> parseServiceObject(const std::string& objectName, std::string_view json);
 
 }
--- a/src/libplatform/peerentryjson.h
+++ b/src/libplatform/peerentryjson.h
@@ -8,10 +8,10 @@
 
 namespace kingcuptrail {
 
-/// An announcement as the store holds it.
+/// The JSON text of an agent's announcement, as stored in the platform.
 std::string toJson(const PeerEntry&);
 
-/// Reads an announcement; nothing when the text is not one.
+/// Parses an announcement; nothing when the text is not valid.
 std::optional<PeerEntry> parsePeerEntry(std::string_view json);
 
 }
--- a/src/libplatform/platformclient.cpp
+++ b/src/libplatform/platformclient.cpp
@@ -27,7 +27,7 @@
 
     asio::io_context& context;
     PlatformOptions options;
-    /// Shared with the calls' completions, which outlive the client by a moment when it is destroyed in one of them.
+    /// Shared with the completion handlers of the calls, since the client may be destroyed inside one of them.
     std::shared_ptr<Calls> calls = std::make_shared<Calls>();
     std::uint64_t callsMade = 0;
 };
@@ -54,7 +54,7 @@
             return;
         }
         auto result = read(response->body);
-        // What a garbled answer was meant to say about a write is not known.
+        // A response that cannot be decoded does not show whether a write took effect.
         const PlatformError garbled = isWrite ? PlatformError::NoAnswer : PlatformError::BadAnswer;
         const PlatformError reason = result ? PlatformError::None : garbled;
         handler(std::move(result), reason);
@@ -74,8 +74,8 @@
     cancelAll();
 }
 
-// A store answers a long list in parts. The list is as old as its first part: a watch from there sees again what changed
-// while the others were read.
+// A store returns a long list in pages. The list gets the version of its first page, so that a watch from there repeats the
+// changes made while the other pages were read.
 void PlatformClient::Private::listPart(std::string kind, ListFreshness freshness, ObjectList listed, Handler<ObjectList> handler)
 {
     const std::string after = listed.objects.empty() ? std::string() : listed.objects.back().name;
--- a/src/libplatform/platformclient.h
+++ b/src/libplatform/platformclient.h
@@ -13,17 +13,17 @@
 
 namespace kingcuptrail {
 
-/// Why a call to the platform's object API did not succeed.
+/// Why a call to the platform's object API failed.
 enum class PlatformError : std::uint8_t {
     None,
-    /// No connection: nothing was written.
+    /// No connection could be established. Nothing was written.
     Unreachable,
-    /// No answer came: a write may or may not have taken effect.
+    /// The response was lost or timed out. A write may or may not have taken effect.
     NoAnswer,
-    /// The condition on the version did not hold: nothing was written.
+    /// The object's version was not the expected one. Nothing was written.
     Conflict,
     NotFound,
-    /// The watch is too far behind; list again.
+    /// The store no longer has the history since the watch's version; the objects must be listed again.
     Gone,
     BadAnswer,
     Refused,
@@ -48,12 +48,12 @@
 struct PlatformObject {
     std::string name;
     ObjectVersion version = 0;
-    /// JSON; nothing for an object that was deleted, as a watch reports it.
+    /// JSON text; nothing for a deleted object in the response to a watch.
     std::optional<std::string> value;
 };
 
 struct ObjectList {
-    /// The store's version that the list shows; a watch continues from it.
+    /// The version of the store that the list reflects; a watch continues from it.
     ObjectVersion version = 0;
     std::vector<PlatformObject> objects;
 };
@@ -62,31 +62,31 @@
 
 struct PlatformOptions {
     asio::ip::tcp::endpoint server;
-    /// How this store's API is spoken; nothing means plainDialect().
+    /// Encodes requests and decodes responses of the store; null means plainDialect().
     const StoreDialect* dialect = nullptr;
     Millis connectTimeout = 1000;
     Millis callTimeout = 3000;
-    /// How long a watch waits at the platform before it answers empty, in milliseconds.
+    /// How long the platform holds a watch without changes before it returns an empty list, in milliseconds.
     Millis watchWait = 20000;
-    /// How long a call's connection may show no sign of the store's host before the call fails, in milliseconds; 0 means
-    /// as long as the call may take.
+    /// How long the store's host may not respond on a call's connection before the call fails, in milliseconds; 0 means as long
+    /// as the timeout of the call.
     Millis pathSilenceLimit = 0;
-    /// Name of this process, sent with each call so that the platform's own counts can tell callers apart.
+    /// Name of this process, sent with each call so that the platform can count calls for each client.
     std::string client;
-    /// Shortest and longest wait before a watcher or announcer tries again, in milliseconds. The shortest is also the
-    /// pause of a watcher between two watches.
+    /// Minimum and maximum delay before a watcher or announcer retries, in milliseconds. The minimum is also the pause of a
+    /// watcher between two watches.
     Millis retryFirst = 100;
     Millis retryMax = 3000;
 };
 
-/// Whether an answer has to show every acknowledged write, or may be some seconds old, which costs the store less.
+/// Whether a response must reflect every acknowledged write, or may be some seconds old, which is cheaper for the store.
 enum class ListFreshness : std::uint8_t {
     Current,
     MayBeOld,
 };
 
-/// Calls of the platform's object API, without retries: those are their callers' decisions. Lives in one io_context's thread.
-/// What goes over the wire is its dialect's (storedialect.h).
+/// Client of the platform's object API. It does not retry: whether to retry is decided by the code that makes a call. Not
+/// thread-safe: use it only in the io_context's thread. The wire format is defined by a StoreDialect (storedialect.h).
 class PlatformClient {
 public:
     template <typename Result>
@@ -99,13 +99,13 @@
 
     void get(const std::string& kind, const std::string& name, Handler<PlatformObject> handler, ListFreshness freshness = ListFreshness::Current);
     void list(const std::string& kind, Handler<ObjectList> handler, ListFreshness freshness = ListFreshness::Current);
-    /// Writes only when the object's version is `ifVersion`; yields the new version.
+    /// Writes the object if its version is `ifVersion`, where 0 means that it does not exist; yields the new version.
     void put(const std::string& kind, const std::string& name, const std::string& value, ObjectVersion ifVersion, Handler<ObjectVersion> handler);
     void remove(const std::string& kind, const std::string& name, ObjectVersion ifVersion, Handler<ObjectVersion> handler);
-    /// Waits for changes after `since`; an empty list when none came in time.
+    /// Waits for changes after version `since`; yields an empty list when there were none within the wait.
     void watch(const std::string& kind, ObjectVersion since, Handler<ObjectList> handler);
 
-    /// Gives up every call under way; no handler is called any more.
+    /// Cancels all pending calls without calling their handlers.
     void cancelAll();
 
     std::uint64_t callsMade() const;
--- a/src/libplatform/presence.h
+++ b/src/libplatform/presence.h
@@ -7,16 +7,16 @@
 
 namespace kingcuptrail {
 
-/// What an agent announces about its upstream; one object of kind `presence`, named by the upstream, in the platform.
+/// An agent's announcement of its upstream: the content of an object of kind `presence` that has the upstream's name.
 struct Presence {
     std::string upstream;
     OwnerToken token;
     std::string service;
     std::string dataCentre;
-    /// Where balancers reach the agent, "address:port".
+    /// The agent's listening address for balancers, as "address:port".
     std::string address;
     MemberState state = MemberState::Serving;
-    /// How long the announcement holds without a renewal, in milliseconds.
+    /// How long the announcement is valid without a renewal, in milliseconds.
     Millis lease = 15000;
 
     bool operator==(const Presence&) const = default;
--- a/src/libplatform/presencewatcher.cpp
+++ b/src/libplatform/presencewatcher.cpp
@@ -12,12 +12,12 @@
 
 namespace {
 
-    /// Bounds of the time between two looks at the leases, in milliseconds: short leases, as in tests, must not make a
-    /// busy loop, and long ones must not hide a new upstream with a short lease.
+    /// Bounds of the interval between two lease checks, in milliseconds: short leases, as in tests, must not cause a busy loop,
+    /// and long ones must not delay the check of a new upstream with a short lease.
     constexpr Millis minLeaseCheck = 20;
     constexpr Millis maxLeaseCheck = 7500;
 
-    /// Leases that are read one by one at most.
+    /// Maximum number of leases that are read individually; for more, all are listed in one call.
     constexpr std::size_t maxSingleReads = 16;
 
     Millis monotonicNow()
@@ -70,16 +70,16 @@
     std::vector<Presence> reported;
     bool hasReported = false;
     ObjectVersion seen = 0;
-    /// Whether the last look at the leases was answered.
+    /// Whether the platform responded to the last lease check.
     bool lastLookAnswered = false;
     bool isChecking = false;
-    /// Single reads of the look under way: those still out, what they have found, and the first failure.
+    /// The running lease check: pending individual reads, the lease objects read so far, and the error of a failed read.
     std::size_t readsOut = 0;
     ObjectList found;
     std::optional<PlatformError> readFailure;
-    /// The wait for the next look, in milliseconds.
+    /// The delay before the next lease check, in milliseconds.
     Millis checkingAfter = 0;
-    /// The last trouble of either chain of calls; each is cleared by its own success.
+    /// The last error of the watch and of the lease checks; each is cleared when its own calls succeed again.
     PlatformError watchReason = PlatformError::None;
     PlatformError leaseReason = PlatformError::None;
 };
@@ -119,9 +119,9 @@
     report();
 }
 
-// Load: a rack ends, or a fleet is restarted, and hundreds of announcements change within a second. Harm: each change
-// would wake every watcher by itself. Limit: a pause after each answer, in which changes gather for the next one; the
-// first change is still seen at once.
+// When a rack fails or all daemons are restarted, hundreds of announcements change within a second, and each change would
+// complete the watch of every watcher. The pause after each response batches the changes that follow; the first one is still
+// reported without delay.
 void PresenceWatcher::Private::watchLater()
 {
     delay.start(watchPause, [this] { watch(); });
@@ -136,7 +136,7 @@
         return;
     }
     const auto known = announced.find(object.name);
-    // A new incarnation has a whole lease ahead of it, whatever the one before left.
+    // A new incarnation starts with a full lease; time counted for the previous one does not apply.
     if (known != announced.end() && known->second.token != presence->token)
         leases.erase(object.name);
     announced.insert_or_assign(object.name, std::move(*presence));
@@ -154,8 +154,8 @@
     leaseDelay.start(checkingAfter, [this] { checkLeases(); });
 }
 
-// Failure: an upstream with a short lease joins just after a look that found only long ones, and if its agent dies at
-// once nobody notices for as long as those take. The wait is cut short.
+// When an upstream with a short lease joins just after a check of long leases only, the delay computed from those
+// would hide the immediate death of its agent. The delay is shortened.
 void PresenceWatcher::Private::checkLeasesSooner()
 {
     if (!isChecking && leaseCheckInterval() < checkingAfter)
@@ -185,9 +185,9 @@
         readLease(name);
 }
 
-// Load: thousands of upstreams, of which a few are replaced or fail at any time, watched by hundreds of balancers.
-// Harm: a list of all leases every few seconds is by far the largest part of a balancer's control traffic.
-// Limit: single reads for a handful of upstreams in doubt; beyond it one list costs the platform less calls.
+// With thousands of upstreams and hundreds of balancers, listing all leases every few seconds would be by far the largest part
+// of a balancer's control traffic. Only a few upstreams are replaced or fail at any time, so their leases are read
+// individually; beyond maxSingleReads one list takes fewer calls.
 std::vector<std::string> PresenceWatcher::Private::namesInDoubt() const
 {
     std::vector<std::string> names;
@@ -229,8 +229,8 @@
         handleLeases(found);
 }
 
-// Failure: after an outage every lease looks old, all upstreams lapse at once and no flow can be placed. The time up to
-// a failed look is not counted, and neither is the time from it to the next answer, in which holders could not renew.
+// After an outage of the platform every lease would appear expired, all upstreams would lapse at once and no flow could be
+// placed. The time before a failed check, and from it to the next response, is therefore not counted: agents could not renew.
 void PresenceWatcher::Private::countLeaseTime(bool answered)
 {
     const LeaseOptions options { .longestStep = 2 * leaseCheckInterval() };
@@ -240,7 +240,7 @@
     lastLookAnswered = answered;
 }
 
-// The version of the lease object stands for the counter of renewals: each renewal is a write of its own.
+// The version of the lease object serves as the counter of renewals, since each renewal is a separate write.
 void PresenceWatcher::Private::handleLeases(const ObjectList& list)
 {
     std::erase_if(leases, [this](const auto& lease) { return !announced.contains(lease.first); });
@@ -282,7 +282,7 @@
         return;
     hasReported = true;
     reported = std::move(current);
-    // Last, and with copies, since the handler may destroy this watcher.
+    // Must be the last action, and with copies, since the handler may destroy this watcher.
     const OnPresence handler = onPresence;
     const std::vector<Presence> presences = reported;
     handler(presences);
--- a/src/libplatform/presencewatcher.h
+++ b/src/libplatform/presencewatcher.h
@@ -8,17 +8,17 @@
 
 namespace kingcuptrail {
 
-/// Follows all announcements. Reports the whole current set after each change. An upstream whose lease object was not
-/// renewed for longer than the lease, as seen from here while the platform answers, is reported as MemberState::Lapsed;
-/// while the platform is down the last set stands, since nobody could have renewed.
+/// Watches all announcements and reports the complete set after each change. An upstream whose lease object this process has
+/// not observed to be renewed for longer than the lease, while the platform responded, is reported as MemberState::Lapsed.
+/// While the platform is unavailable the last set remains valid, since no agent can renew its lease then.
 class PresenceWatcher {
 public:
     using OnPresence = std::function<void(const std::vector<Presence>&)>;
 
-    /// Whether an upstream's lease has to be looked at. One whose agent is heard over a link is alive whatever its lease.
+    /// Whether an upstream's lease has to be checked. If its agent is connected over a link, it is alive whatever its lease.
     using IsInDoubt = std::function<bool(const Presence&)>;
 
-    /// Without `isInDoubt` every lease is looked at.
+    /// Without `isInDoubt` every lease is checked.
     PresenceWatcher(asio::io_context& context, const PlatformOptions& options, OnPresence onPresence, IsInDoubt isInDoubt = {});
     ~PresenceWatcher();
     PresenceWatcher(const PresenceWatcher&) = delete;
--- a/src/libplatform/randomid.h
+++ b/src/libplatform/randomid.h
@@ -4,7 +4,7 @@
 
 namespace kingcuptrail {
 
-/// 128 random bits in hexadecimal digits, to tell this process's or operator's own writes from all others.
+/// 128 random bits in hexadecimal digits: a unique id for the writes of one process or one operator's change.
 std::string makeRandomId();
 
 }
--- a/src/libplatform/schemacheck.cpp
+++ b/src/libplatform/schemacheck.cpp
@@ -15,11 +15,11 @@
 
     using Error = valijson::ValidationResults::Error;
 
-    /// The library's texts, from which alone it can be told what is wrong.
+    /// Beginnings of the validation library's messages; it has no error codes.
     constexpr std::string_view missingText = "Missing required property '";
     constexpr std::string_view typeText = "Value type not permitted";
     constexpr std::string_view unknownText = "Target should not validate against schema specified in 'not'";
-    /// Begin the errors that only say that a child has one.
+    /// Beginnings of messages that only report an error in a child.
     constexpr std::array<std::string_view, 2> summaryTexts { "Failed to validate item #", "Failed to validate against" };
 
     std::string placeOfContext(const std::vector<std::string>& context)
@@ -49,13 +49,13 @@
             fault.kind = FaultKind::WrongType;
         } else if (error.description.starts_with(unknownText)) {
             fault.kind = FaultKind::UnknownField;
-            fault.detail = "No such field.";
+            fault.detail = "Unknown field.";
         }
         return fault;
     }
 
-    /// A name that stands twice in one object. The JSON library would keep the last silently, and an operator would
-    /// not see that half of the file has no effect.
+    /// Finds names that occur twice in one object. The JSON library would silently keep the last value, and an operator would
+    /// not notice that a part of the file has no effect.
     class DuplicateFinder {
     public:
         explicit DuplicateFinder(std::vector<Fault>& faults)
@@ -109,14 +109,14 @@
             std::string place;
             for (const Level& outer : m_levels)
                 place = outer.isArray ? placeOf(place, outer.index) : placeOf(place, outer.name);
-            m_faults.push_back({ .kind = FaultKind::DuplicateName, .place = std::move(place), .detail = "The field stands twice in one object." });
+            m_faults.push_back({ .kind = FaultKind::DuplicateName, .place = std::move(place), .detail = "The field occurs more than once in the same object." });
         }
 
         std::vector<Fault>& m_faults;
         std::vector<Level> m_levels;
     };
 
-    /// The library compares a value of the wrong type with its range all the same; one fault for it is enough.
+    /// The library also checks the range of a value of the wrong type; one fault for it is enough.
     void dropRangeOfWrongTypes(std::vector<Fault>& faults)
     {
         std::set<std::string> wrongTypes;
@@ -152,7 +152,7 @@
     auto document = nlohmann::json::parse(json, DuplicateFinder(faults), false);
     if (document.is_discarded()) {
         faults.resize(faultsBefore);
-        faults.push_back({ .kind = FaultKind::NotJson, .place = "", .detail = "The text is not JSON." });
+        faults.push_back({ .kind = FaultKind::NotJson, .place = "", .detail = "The text is not valid JSON." });
         return std::nullopt;
     }
     checkAgainstSchema(document, schema, faults);
--- a/src/libplatform/schemacheck.h
+++ b/src/libplatform/schemacheck.h
@@ -8,15 +8,15 @@
 
 namespace kingcuptrail {
 
-/// Checks a document against a JSON Schema and adds every fault, typed and with its place as a JSON pointer. Unknown
-/// fields are all found when the schema says "additionalProperties": { "not": {} }.
+/// Validates a document against a JSON Schema and adds every fault with its kind and its location as a JSON pointer. All
+/// unknown fields are found if the schema says "additionalProperties": { "not": {} }.
 void checkAgainstSchema(const nlohmann::json& document, std::string_view schema, std::vector<Fault>& faults);
 
-/// Parses `json` and checks it against a JSON Schema. Adds every fault found, a field that stands twice in one object too.
-/// Yields the document when there was none.
+/// Parses `json` and validates it against a JSON Schema. Adds every fault found, including duplicate fields of an object.
+/// Returns the document if there was none.
 std::optional<nlohmann::json> parseChecked(std::string_view json, std::string_view schema, std::vector<Fault>& faults);
 
-/// A JSON pointer (RFC 6901) to a member of the value at `place`.
+/// Appends a member's name or an index to the JSON pointer (RFC 6901) `place`.
 std::string placeOf(std::string_view place, std::string_view member);
 std::string placeOf(std::string_view place, std::size_t index);
 
--- a/src/libplatform/serviceobjects.cpp
+++ b/src/libplatform/serviceobjects.cpp
@@ -16,8 +16,8 @@
     writeNext();
 }
 
-// Load: a first apply with thousands of services. Harm: all at once they would take the platform's several hundred
-// writes a second from the leases. Limit: one write under way, so that the platform's own latency paces them.
+// Only one write is pending at a time, so that the platform's latency limits the rate. A first apply with thousands of
+// services would otherwise use up the platform's capacity of several hundred writes per second, which lease renewals need.
 void ServiceObjects::writeNext()
 {
     if (m_contents.empty())
--- a/src/libplatform/serviceobjects.h
+++ b/src/libplatform/serviceobjects.h
@@ -6,28 +6,27 @@
 
 namespace kingcuptrail {
 
-/// Writes and clears away the immutable objects that manifests name. One operation at a time; lives and dies with its
-/// client.
+/// Writes and removes the immutable objects that manifests reference. One operation at a time. The client must outlive it.
 ///
-/// Failure guarded against: one operator's apply clears away an object that no manifest has named for long, while
-/// another's brings the same content back. Its manifest would name an object that is gone, and no daemon could read the
-/// configuration. The guard: versions are noted before the manifest is written, objects are removed after it and only
-/// in the version noted, and a writer that finds its object there writes it once more, which changes the version. As
-/// each manifest is written on the condition of the one read before, a writer that could meet the remover has read the
-/// remover's manifest, so that it wrote after the noting.
+/// An object that the accepted manifest references must never be removed, even if one apply removes an object that no
+/// manifest has referenced for long while another apply writes the same content again. To guarantee this, an apply records the
+/// versions of the objects to remove before it writes its manifest, and afterwards removes each only in the recorded version; an
+/// apply that finds its object already there writes it once more, which changes the version. Each manifest is written on the
+/// condition that the one read before is still current, so an apply that references the object again must have read the
+/// manifest of the removing one, and wrote the object after the versions were recorded.
 class ServiceObjects {
 public:
     using Done = std::function<void(PlatformError)>;
 
     explicit ServiceObjects(PlatformClient& client);
 
-    /// Makes sure that each object is there, by name and content. On an error some may be written.
+    /// Writes each object, given by name and content. After an error some of them may have been written.
     void write(std::map<std::string, std::string> contents, Done done);
 
-    /// Looks up the versions of objects that are to be removed.
+    /// Reads and records the versions of the objects to be removed.
     void noteVersions(std::vector<std::string> names, Done done);
 
-    /// Removes what was noted, but for objects that have changed since. What an error leaves behind takes space alone.
+    /// Removes the recorded objects, except those that have changed since. Objects left over after an error only take up space.
     void removeNoted(Done done);
 
 private:
--- a/src/libplatform/storedialect.cpp
+++ b/src/libplatform/storedialect.cpp
@@ -118,7 +118,7 @@
         case statusGone:
             return PlatformError::Gone;
         default:
-            // A server error says nothing about whether the write took effect before it.
+            // A server error does not show whether the write took effect.
             return status >= serverErrors ? PlatformError::NoAnswer : PlatformError::Refused;
         }
     }
--- a/src/libplatform/storedialect.h
+++ b/src/libplatform/storedialect.h
@@ -5,19 +5,19 @@
 
 namespace kingcuptrail {
 
-/// One part of a listing that the store answers in parts.
+/// One page of a list.
 struct ObjectPage {
     ObjectList list;
     bool hasMore = false;
 };
 
-/// How one store's object API says what PlatformClient asks. A store of another make needs another table of these
-/// functions and nothing else.
+/// Encodes PlatformClient's requests for the object API of one kind of store and decodes the responses. To support another kind
+/// of store, only another table of these functions is needed.
 struct StoreDialect {
     HttpRequest (*get)(const std::string& kind, const std::string& name, ListFreshness freshness) = nullptr;
-    /// The part of a listing behind the name `after`; empty for the first part.
+    /// Requests the page of a list that follows the name `after`; empty for the first page.
     HttpRequest (*list)(const std::string& kind, const std::string& after, ListFreshness freshness) = nullptr;
-    /// Writes on the condition that the object has this version; 0 means that there is none yet.
+    /// Writes the object if it has the version `ifVersion`; 0 means that it must not exist.
     HttpRequest (*put)(const std::string& kind, const std::string& name, const std::string& value, ObjectVersion ifVersion) = nullptr;
     HttpRequest (*remove)(const std::string& kind, const std::string& name, ObjectVersion ifVersion) = nullptr;
     HttpRequest (*watch)(const std::string& kind, ObjectVersion since, Millis wait) = nullptr;
@@ -25,7 +25,7 @@
     std::optional<PlatformObject> (*readObject)(const std::string& body) = nullptr;
     std::optional<ObjectPage> (*readPage)(const std::string& body) = nullptr;
     std::optional<ObjectList> (*readChanges)(const std::string& body) = nullptr;
-    /// The version that a write or removal gave the object.
+    /// Decodes the version of the object from the response to a write or removal.
     std::optional<ObjectVersion> (*readVersion)(const std::string& body) = nullptr;
     PlatformError (*errorOfStatus)(int status) = nullptr;
 };
