--- a/tests/platform/platformfixture.h
+++ b/tests/platform/platformfixture.h
@@ -8,7 +8,7 @@
 
 namespace kingcuptrail {
 
-/// A platform stand-in in this process and what tests of its clients share.
+/// Runs a platform stand-in in this process and provides helpers that tests of the platform's clients share.
 class PlatformFixture : public CppUnit::TestFixture {
 public:
     void setUp() override
--- a/tests/platform/testconfigapply.cpp
+++ b/tests/platform/testconfigapply.cpp
@@ -41,8 +41,8 @@
         CPPUNIT_ASSERT(fetch()->services == makeConfig().services);
     }
 
-    // An operator applies, the platform writes, and the answer is lost. Without the read-back he would hear "conflict"
-    // of his own change, apply again and wonder whose it was. Every write of the apply loses its answer here.
+    // The platform accepts every write of an apply, but the responses are lost. Without reading back, the operator would get a
+    // conflict with the own change.
     void lostAnswerIsSettledByReadingBack()
     {
         m_server->setFaults({ .loseAnswers = 2 });
@@ -52,7 +52,8 @@
         CPPUNIT_ASSERT_EQUAL(ConfigVersion { 1 }, fetch()->version);
     }
 
-    // As before, but another operator's change is accepted before the first reads back: his own is in force below it.
+    // The response to a change is lost, and another operator's change is accepted before the manifest is read back. The first
+    // change must still be reported as accepted, with its own version.
     void lostAnswerIsSettledAfterOthersApplied()
     {
         assertAccepted(apply(makeConfig()), 1);
@@ -69,8 +70,8 @@
         assertAccepted(*report, 2);
     }
 
-    // Two operators apply different files at the same moment. One is accepted; the other decided on a configuration that
-    // is no longer so, and must be told what he lost to instead of undoing it unseen.
+    // Two operators apply different files concurrently. One is accepted. The other was based on a configuration that is no longer
+    // in force and must fail with the accepted version instead of overwriting it unnoticed.
     void loserOfARaceLearnsTheVersion()
     {
         assertAccepted(apply(makeConfig()), 1);
@@ -86,8 +87,8 @@
         CPPUNIT_ASSERT_EQUAL(ConfigVersion { 2 }, reports[1].version);
     }
 
-    // A data centre must be taken out now, while another operator's apply is under way. The take-out is about one state
-    // alone; it must not fail for the other change, and must not undo it.
+    // A data centre is taken out of service while another operator's change is in progress. Taking it out changes one state only:
+    // it must neither fail because of the other change nor undo it.
     void takeOutSurvivesAnotherChange()
     {
         assertAccepted(apply(makeConfig()), 1);
@@ -97,7 +98,7 @@
         takeOut.setOut("south", true, [&reports](const ApplyReport& done) { reports.push_back(done); });
         other.setOut("north", true, [&reports](const ApplyReport& done) { reports.push_back(done); });
         runUntil(m_context, [&reports] { return reports.size() == 2; });
-        // Both at once would leave nothing to serve, and the later one sees that.
+        // Both together would take every data centre out of service, which the later change detects.
         CPPUNIT_ASSERT(reports[0].error == ApplyError::None && reports[1].error == ApplyError::AllOut);
         ConfigApply bringBack(m_context, m_options);
         ConfigApply slots(m_context, m_options);
@@ -110,8 +111,7 @@
         CPPUNIT_ASSERT(!config->isOut("south") && !config->isOut("north"));
     }
 
-    // Two operators on call take the same data centre out at the same moment. Both must hear that it is out, and one
-    // write must do.
+    // Two operators concurrently take the same data centre out of service. Both must succeed, with one write of the manifest.
     void sameTakeOutTwiceIsOneChange()
     {
         assertAccepted(apply(makeConfig()), 1);
@@ -125,8 +125,8 @@
         assertAccepted(reports[1], 2, false);
     }
 
-    // An operator takes a data centre out by hand; another applies a file from before, which does not mention it. The
-    // end users of that data centre must not get packets again from an unrelated change.
+    // An operator takes a data centre out of service; another applies an older file, which does not state whether it is out. The
+    // unrelated change must not bring the data centre back.
     void applyDoesNotBringBackUnasked()
     {
         assertAccepted(apply(makeConfig()), 1);
@@ -173,8 +173,8 @@
 
     std::size_t serviceObjects() { return m_server->store().list(serviceObjectKind).objects.size(); }
 
-    // Thousands of changes a day leave as many old objects. Kept for ever, the listing that a new daemon needs would
-    // one day be too large to read.
+    // Thousands of changes a day leave as many old objects. Without their removal, the list of objects that a starting daemon
+    // reads would grow until it is too large.
     void oldServiceObjectsAreRemoved()
     {
         for (std::uint32_t slots = 1; slots <= 30; ++slots) {
@@ -184,8 +184,8 @@
         CPPUNIT_ASSERT_EQUAL(30U, fetch()->services.front().slots);
     }
 
-    // One apply is about to remove an old object when another brings just that content back. Removed all the same, the
-    // accepted configuration could not be read by any daemon.
+    // One apply is about to remove an old object when another writes the same content again. If the object were removed, no
+    // daemon could read the accepted configuration.
     void removalSparesWhatAnotherApplyNamesAgain()
     {
         for (std::uint32_t slots = 1; slots <= keptManifests + 1; ++slots)
@@ -220,8 +220,8 @@
         }
     };
 
-    // The platform is down when a daemon starts, comes, goes in the middle of a watch and comes back with a newer
-    // configuration. The daemon must hold the last one through the outage and then follow, by itself.
+    // The platform is unavailable when a daemon starts, then available, then unavailable during a watch, and then available with a
+    // newer configuration. The daemon must keep the last configuration during the outage and then report the newer one.
     void watcherFollowsThroughAnOutage()
     {
         m_server->setFaults({ .down = true });
@@ -240,7 +240,7 @@
         CPPUNIT_ASSERT(watched.seen.back().isOut("south"));
     }
 
-    // The store is set back by its keepers, and the watch shows a manifest older than the one in force.
+    // The store is restored from a backup, and the watch returns a manifest older than the one in force.
     void watcherNeverReportsOlder()
     {
         assertAccepted(apply(makeConfig()), 1);
@@ -291,8 +291,8 @@
         CPPUNIT_ASSERT_EQUAL(readsBefore + 2, m_server->calls().reads);
     }
 
-    // A daemon was stopped for so long that the platform has forgotten the changes since: the watch is refused, and the
-    // whole must be read again.
+    // A daemon was paused for so long that the platform no longer has the history since its version. The watch fails with Gone,
+    // and the objects must be listed again.
     void watchTooFarBehindListsAgain()
     {
         m_server->store() = ObjectStore(2);
--- a/tests/platform/testmembership.cpp
+++ b/tests/platform/testmembership.cpp
@@ -100,8 +100,8 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, announced.announced.size());
     }
 
-    // Each write of an announcement takes effect and its answer is lost. A second try with a new incarnation would fence
-    // the process by itself; the read-back must find that the first stands.
+    // Each write of an announcement takes effect but its response is lost. A retry with a new incarnation would make the process
+    // fence itself; reading the object back must show that the first write took effect.
     void lostAnswersGiveOneIncarnation()
     {
         m_server->setFaults({ .loseAnswers = 3 });
@@ -113,8 +113,8 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, announced.announced.size());
     }
 
-    // An agent withdraws and another starts for the same upstream while packets of old flows still carry the first
-    // incarnation. Given out again, it would make the second take them for its own.
+    // An agent withdraws and another starts for the same upstream while packets of old flows still carry the first incarnation.
+    // If that incarnation were allocated again, the second agent would accept those packets as its own.
     void incarnationGrowsAcrossWithdrawal()
     {
         for (Incarnation expected = 1; expected <= 3; ++expected) {
@@ -126,9 +126,9 @@
         }
     }
 
-    // An agent is stopped for longer than its lease (here: the platform is down for it alone), and another is started in
-    // its place, and perhaps withdrawn again. When the first goes on it must hear that it is not the owner any more,
-    // and must not announce what an old incarnation holds.
+    // An agent is paused for longer than its lease (here: the platform is unavailable to it alone), and another agent is started
+    // in its place and, in the second run, withdrawn again. When the first resumes, it must be fenced and must not announce its
+    // old incarnation.
     void pausedAnnouncerIsFenced()
     {
         for (const bool laterLeaves : { false, true }) {
@@ -165,8 +165,8 @@
         CPPUNIT_ASSERT(second.newer.has_value() == (second.incarnation() < first.incarnation()));
     }
 
-    // Somebody deletes the announcement of an upstream that works. It must come back, under the same incarnation, since
-    // its flows hold that.
+    // The announcement of a working upstream is deleted. It must be written again with the same incarnation, since the flows of
+    // the upstream refer to it.
     void deletedAnnouncementIsWrittenAgain()
     {
         Announced announced(m_context, m_options, wanted());
@@ -178,8 +178,8 @@
         CPPUNIT_ASSERT(!announced.newer);
     }
 
-    // The platform is down for longer than the lease, and nobody can renew. If each lease then looked lapsed, no upstream
-    // at all would get a new flow. The watcher is the first to get an answer again, and the holder has not renewed yet.
+    // The platform is unavailable for longer than the lease, and no agent can renew. If the leases then lapsed, no upstream would
+    // get a new flow. Here the watcher gets a response again before the agent does, so that the lease is not renewed yet.
     void leaseOutlastsAnOutage()
     {
         constexpr Millis lease = 1000;
@@ -203,8 +203,9 @@
         CPPUNIT_ASSERT_EQUAL(reports, watched.reports);
     }
 
-    // A holder with a short lease is gone for good while the platform answers: its upstream must get no new flow, and that
-    // soon, though the watcher knew of no lease before. When another speaks for the upstream, it must.
+    // An agent with a short lease dies while the platform is available. Its upstream must soon be reported as lapsed and get no
+    // new flow, although the watcher had no leases to check before the upstream joined. When another agent announces the
+    // upstream, it must be reported as serving again.
     void leaseOfALostHolderLapses()
     {
         Watched watched(m_context, m_options);
@@ -221,8 +222,8 @@
         CPPUNIT_ASSERT(watched.now.front().token == later.announced.front().token);
     }
 
-    // Thousands of agents are linked and one dies. Listing every lease to judge that one would be most of a balancer's
-    // control traffic; only the lease in doubt may be read, and none while all are heard.
+    // One of thousands of linked agents dies. Listing all leases to check that one would be most of a balancer's control traffic.
+    // Only the lease of an agent without a link may be read, and none while all agents are linked.
     void onlyALeaseInDoubtIsRead()
     {
         bool isLinked = true;
