--- a/src/libdecision/admission.cpp
+++ b/src/libdecision/admission.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-    /// Weight of one sample in the estimates of service time; they follow a change within some 10 requests.
+    /// Weight of one sample in the estimates of service time. The estimates follow a change within about 10 requests.
     constexpr double serviceTimeWeight = 0.1;
-    /// Short work counts as present this long after the last of it, in milliseconds.
+    /// Slots stay reserved for short work for this long after the last of it, in milliseconds.
     constexpr Millis shortPresence = 5000;
-    /// Bounds of what a refused caller is told to wait, in milliseconds.
+    /// Bounds of the retry delay that is sent to a refused caller, in milliseconds.
     constexpr Millis leastRetryAfter = 50;
     constexpr Millis longestRetryAfter = 30000;
-    /// Hints older than this say nothing; a fresh one is believed this long, in milliseconds.
+    /// Hints older than this are ignored; a current hint is applied for this long. In milliseconds.
     constexpr Millis oldestHint = 5000;
     constexpr Millis hintHold = 2000;
 
@@ -60,10 +60,9 @@
         return slots;
     }
 
-    // Load: uploads of seconds, with queries of milliseconds between them.
-    // Harm: once uploads hold every slot, a query waits for the end of one, longer than its deadline.
-    // Limit: a quarter of the slots, at least one, is kept for short work while there is any; with a single slot nothing
-    // can be kept, and the shares of classInTurn() alone hold the balance.
+    // Reserves a quarter of the slots, at least one, for short work while there is any. If uploads, which take seconds, held
+    // every slot, a query of milliseconds would wait for the end of an upload and miss its deadline. With a single slot
+    // nothing can be reserved, and only the weights of classInTurn() balance the classes.
     std::uint32_t longSlots(std::uint32_t slots)
     {
         return slots > 1 ? slots - std::max<std::uint32_t>(1, slots / 4) : 1;
@@ -74,7 +73,7 @@
         return options.coldStartGuard && now < state.limit.pausedUntil;
     }
 
-    /// Slots in which work of this class may start now.
+    /// The number of slots in which work of this class may start now.
     std::uint32_t freeSlots(const AdmissionState& state, const AdmissionOptions& options, WorkClass workClass, Millis now)
     {
         const std::uint32_t slots = usableSlots(state, options, now);
@@ -111,7 +110,7 @@
         chargeStart(state.queue, workClass, meanTime(state, options, workClass));
     }
 
-    /// Slots that work of this class may count on while it queues.
+    /// The average number of slots available to the queued work of this class.
     double servingSlots(const AdmissionState& state, const AdmissionOptions& options, WorkClass workClass, Millis now)
     {
         const std::uint32_t slots = usableSlots(state, options, now);
@@ -124,7 +123,7 @@
         return shortWaits ? share : std::max(left, share);
     }
 
-    /// The wait until long work gives up a slot, when it holds all of them.
+    /// The expected time until long work releases a slot, if it holds all of them.
     double waitForLong(const AdmissionState& state, const AdmissionOptions& options, WorkClass workClass, Millis now)
     {
         const std::uint32_t running = state.running[indexOf(WorkClass::Long)];
@@ -133,7 +132,7 @@
         return meanTime(state, options, WorkClass::Long) / (running + 1);
     }
 
-    /// The wait of a request that has `position` others of its class before it.
+    /// The expected wait of a request with `position` requests of its class before it.
     Millis waitAt(const AdmissionState& state, const AdmissionOptions& options, WorkClass workClass, std::size_t position,
         Millis now)
     {
@@ -154,10 +153,10 @@
         return value ^ (value >> 31);
     }
 
-    // Load: a burst of which most is refused within the same millisecond.
-    // Harm: told the same time, all come back at once and are refused again.
-    // Limit: spread over once more the expected wait, by the request's id, so that they come back at the pace at which
-    // the upstream works the queue off. At most 30 s, since a refused caller must learn of a mended upstream.
+    // The delay after which a refused caller may retry. Most requests of a burst are refused within the same millisecond,
+    // and with equal delays they would all return at once and be refused again. A hash of the request's id therefore adds up
+    // to the expected wait once more, so that callers return at about the rate at which the queue empties. The delay is
+    // limited to 30 s so that callers notice a recovered upstream.
     Millis retryAfter(Millis wait, std::uint64_t id)
     {
         const Millis base = std::clamp(wait, leastRetryAfter, longestRetryAfter / 2);
@@ -171,10 +170,9 @@
         return { .ran = Ran::No, .reason = reason, .retryAfter = retryAfter(wait, item.id) };
     }
 
-    // Load: a burst of uploads, or of queries, larger than the queue.
-    // Harm: one class fills the queue and the other is refused although its share of the slots is free.
-    // Limit: a quarter of the queue for long work, which waits longer in fewer places; both bounds leave a place for
-    // each class from a queue of two.
+    // The queue limit of one class. Without it, a burst of uploads or queries larger than the queue would fill it, and the
+    // other class would be refused although its share of the slots is free. Long work gets a quarter of the queue, since
+    // each such request waits longer. From a queue limit of two, each class has at least one place.
     std::size_t lineLimit(const AdmissionOptions& options, WorkClass workClass)
     {
         const std::uint32_t longLimit = std::max<std::uint32_t>(1, options.queueLimit / 4);
@@ -189,10 +187,10 @@
             || lineOf(state.queue, workClass).size() >= lineLimit(options, workClass);
     }
 
-    // Load: more work than the slots carry, for longer than a burst.
-    // Harm: a queue without bound makes every request late: each is answered after its caller has given up.
-    // Limit: the wait that is expected must leave the time of service and two deviations before the deadline, and stay
-    // under a second for short work (five for long), so that a caller can still be served elsewhere.
+    // Under a lasting overload, an unbounded queue makes every request late: each is answered after its caller has given up.
+    // A request is therefore queued only if its expected wait leaves time for the service time plus two deviations before
+    // the deadline. The wait is also limited to a second for short work and five for long work by default, so that the
+    // caller can still be served by another upstream.
     bool waitsTooLong(const AdmissionState& state, const AdmissionOptions& options, const WorkItem& item, Millis now)
     {
         const Millis wait = expectedWait(state, options, item.workClass, now);
@@ -202,11 +200,10 @@
         return wait > longest || now + wait + service > item.deadline;
     }
 
-    // Load: a full queue before an upstream that has just turned cold, or pauses.
-    // Harm: requests queued for five slots now wait for one; each would be refused only at its deadline, when its caller
-    // can do nothing else with it.
-    // Limit: a request goes as soon as the wait at its place passes its deadline; those that stay are counted, so that
-    // as many stay as can still be served.
+    // Removes queued requests that can't be served before their deadline. When the upstream turns cold or starts are paused,
+    // requests queued for five slots may have to wait for one; refusing each only at its deadline would leave its caller no
+    // time for a retry elsewhere. Only the requests that stay count towards the wait of those behind them, so that as many
+    // stay as can be served.
     std::vector<WorkItem> takeHopeless(AdmissionState& state, const AdmissionOptions& options, WorkClass workClass, Millis now)
     {
         std::vector<WorkItem> hopeless;
@@ -335,12 +332,11 @@
     return wake;
 }
 
-// Load: a cold upstream whose endpoints know what the agent cannot: that it is not ready, or that work from before the
-// agent's own restart still runs there.
-// Harm: an endpoint that lags or lies would otherwise take an upstream that answers out of service, or open the gates
-// of one that does not.
-// Limit: during a warm-up only, when the agent's own measurements say little yet; never below one slot, so that they
-// go on; for at most one more warm-up, so that a stuck endpoint costs a delay and not the upstream.
+// The endpoints of a cold upstream may know what the agent can't: that it is not ready, or that work from before the agent's
+// restart still runs there. An endpoint that lags or reports wrong values must neither take a working upstream out of
+// service nor admit more requests. Hints therefore count only during a warm-up, while the agent has few measurements of its
+// own. They never reduce the limit below one slot, so that measurements continue, and they count for at most one further
+// warm-up, so that an endpoint that is stuck only causes a delay.
 void noteHint(AdmissionState& state, const AdmissionOptions& options, const UpstreamHint& hint, Millis now)
 {
     if (!state.limit.cold || hint.age > oldestHint)
--- a/src/libdecision/admission.h
+++ b/src/libdecision/admission.h
@@ -6,7 +6,7 @@
 
 namespace kingcuptrail {
 
-/// What becomes of a request on arrival.
+/// What admission does with a request that arrives.
 enum class AdmitDecision : std::uint8_t {
     Run,
     Queue,
@@ -18,105 +18,105 @@
     static constexpr std::array<std::string_view, 3> names { "run", "queue", "refuse" };
 };
 
-/// The answer of admission; `refusal` counts only with Refuse, and then nothing has reached the upstream.
+/// The result of admission. `refusal` is valid only with Refuse; a refused request has not reached the upstream.
 struct AdmitVerdict {
     AdmitDecision decision = AdmitDecision::Refuse;
     RefusalVerdict refusal;
 };
 
-/// Bounds of one agent's admission.
+/// Limits of one agent's admission control.
 struct AdmissionOptions {
-    /// What the upstream bears when warm.
+    /// The number of concurrent requests that a warm upstream can serve.
     std::uint32_t slots = 1;
-    /// Requests waiting at most, both classes together.
+    /// The maximum number of queued requests, both classes together.
     std::uint32_t queueLimit = 32;
-    /// The shortest time from cold to all slots, in milliseconds.
+    /// The minimum time in which the limit rises from one slot to all slots, in milliseconds.
     Millis warmUp = 10000;
-    /// Expected waits beyond these are refused at once, whatever the deadline, in milliseconds.
+    /// A request whose expected wait is longer than this is refused on arrival, whatever its deadline, in milliseconds.
     Millis longestShortWait = 1000;
     Millis longestLongWait = 5000;
-    /// Service times believed until some are measured, in milliseconds.
+    /// Service times that are assumed until the first measurement, in milliseconds.
     Millis assumedShortTime = 50;
     Millis assumedLongTime = 1000;
-    /// Test only: off, a cold upstream gets as much as a warm one.
+    /// Test only: when off, a cold upstream gets as many requests as a warm one.
     bool coldStartGuard = true;
-    /// Test only: off, everything is queued without bound and waits past its deadline.
+    /// Test only: when off, the queue has no bound and requests stay in it past their deadline.
     bool queueGuard = true;
-    /// Test only: off, long work may take every slot and its turn comes by arrival.
+    /// Test only: when off, long work may occupy every slot and requests start in order of arrival.
     bool classGuard = true;
 };
 
-/// What the upstream's own health and load endpoints say. They lag and may be wrong.
+/// What the upstream's own health and load endpoints report. Reports lag and may be wrong.
 struct UpstreamHint {
     bool healthy = true;
     std::uint32_t busy = 0;
-    /// How old the news is, in milliseconds.
+    /// The age of the report, in milliseconds.
     Millis age = 0;
 };
 
-/// What one agent knows of the load of its one upstream.
+/// The load state of one agent's upstream.
 struct AdmissionState {
     ConcurrencyLimit limit;
     WorkQueue queue;
     std::array<std::uint32_t, 2> running {};
     std::array<ServiceTime, 2> serviceTime;
-    /// When short work last arrived or ended; it counts as present for a while after.
+    /// When short work last arrived or ended. Slots are reserved for short work for a while after that.
     std::optional<Millis> lastShort;
-    /// Slots the upstream says others hold, and until when that is believed.
+    /// Slots that the upstream reports as occupied by other work, and when this report expires.
     std::uint32_t hintedBusy = 0;
     Millis hintUntil = 0;
-    /// Hints are believed until here in the warm-up with this number.
+    /// Hints are ignored after this time during the warm-up with the number below.
     Millis hintsEnd = 0;
     std::uint64_t hintsColdStart = 0;
 };
 
-/// Decides on a request that arrives. Run counts it as running; Queue keeps it.
+/// Decides on a request that arrives. A request that may run is counted as running, a queued one is stored.
 AdmitVerdict admit(AdmissionState&, const AdmissionOptions&, const WorkItem&, Millis now);
 
 /// Removes the queued requests that may start now and counts them as running.
 std::vector<WorkItem> takeRunnable(AdmissionState&, const AdmissionOptions&, Millis now);
 
-/// A queued request that is refused; nothing of it has reached the upstream.
+/// A queued request that is refused. Nothing of it has reached the upstream.
 struct ExpiredItem {
     WorkItem item;
     RefusalVerdict refusal;
 };
 
-/// Removes the queued requests that cannot be answered within their deadline any more, so that each is refused as soon
-/// as that is known.
+/// Removes the queued requests that can no longer be answered before their deadline, so that each is refused as soon as this
+/// is known.
 std::vector<ExpiredItem> takeExpired(AdmissionState&, const AdmissionOptions&, Millis now);
 
-/// Takes note of the end of a running request: frees its slot and moves the limit. A cancelled or timed-out request
-/// has ended when the upstream has confirmed or its connection is gone, not before.
+/// Records the end of a running request: frees its slot and adjusts the concurrency limit. A cancelled or timed-out request
+/// has ended only when the upstream has confirmed it or its connection is closed.
 void finishWork(AdmissionState&, const AdmissionOptions&, WorkClass, WorkOutcome, Millis serviceTime, Millis now);
 
-/// Removes a queued request that its caller has withdrawn; false when it does not wait here.
+/// Removes a queued request that its caller has cancelled. Returns false if it is not queued here.
 bool cancelQueued(AdmissionState&, std::uint64_t id);
 
-/// Refuses everything queued, as not run: the agent drains, its data centre is out, or its upstream is lost.
+/// Refuses all queued requests as not run, because the agent drains, its data centre is taken out or its upstream is lost.
 std::vector<ExpiredItem> refuseQueue(AdmissionState&, RefusalReason, Millis now);
 
-/// When takeRunnable() or takeExpired() may next have something without a request ending first, always after `now`;
-/// nothing while the queue is empty. To be called after both of them.
+/// The next time, always after `now`, at which takeRunnable() or takeExpired() may return something although no request has
+/// ended; nothing while the queue is empty. Call it after both of them.
 std::optional<Millis> nextWake(const AdmissionState&, Millis now);
 
-/// Takes note of what the upstream's endpoints say. A hint only ever makes admission more careful, only during a
-/// warm-up, and for no longer than one more warm-up; what the agent measures itself decides.
+/// Applies a report of the upstream's endpoints. A hint can only reduce the number of requests, only during a warm-up, and
+/// for no longer than one further warm-up. Otherwise the agent's own measurements decide.
 void noteHint(AdmissionState&, const AdmissionOptions&, const UpstreamHint&, Millis now);
 
-/// Begins a warm-up: the upstream was restarted, or its data centre has come back.
+/// Starts a warm-up after a restart of the upstream or the return of its data centre.
 void restartCold(AdmissionState&, Millis now);
 
 /// Whether the upstream is warming up.
 bool isCold(const AdmissionState&);
 
-/// Whole slots of the learned limit.
+/// The learned concurrency limit in whole slots.
 std::uint32_t currentLimit(const AdmissionState&);
 
-/// Requests at the upstream.
+/// The number of requests that the upstream is processing.
 std::uint32_t busy(const AdmissionState&);
 
-/// Requests waiting.
+/// The number of queued requests.
 std::uint32_t queued(const AdmissionState&);
 
 /// How long a request of this class that arrives now would wait for a slot, in milliseconds.
--- a/src/libdecision/attempts.cpp
+++ b/src/libdecision/attempts.cpp
@@ -48,7 +48,8 @@
         return refuse(Ran::Unknown, RefusalReason::EarlierAttemptUnknown);
     }
 
-    /// How much a verdict settles: what is known to have run goes before what is unknown, and both before waiting.
+    /// The precedence of a verdict: a request that is known to have run outranks an unknown outcome, and both outrank
+    /// waiting.
     int weightOf(const AttemptsVerdict& verdict)
     {
         if (verdict.decision == AttemptsDecision::Run)
@@ -86,9 +87,9 @@
         attempt->unreachable = true;
 }
 
-// Failure: the same non-idempotent request on a new flow after its first flow went silent, while the first owner runs it, has run it, or
-// cannot be asked. It would show as a trench booked twice. It runs here only when every earlier owner has promised that
-// it neither ran nor will run it; anything else is answered at once as what it is.
+// A non-idempotent request may be sent again on a new flow while the first owner runs it, has run it or can't be reached. To
+// keep it from running twice, it runs here only if every earlier owner has promised that it neither ran the request nor will
+// run it. Any other answer refuses the request with that owner's state.
 AttemptsVerdict decideAttempts(const EarlierAttempts& earlier, const AttemptsOptions& options)
 {
     AttemptsVerdict settled { AttemptsDecision::Run, {} };
--- a/src/libdecision/attempts.h
+++ b/src/libdecision/attempts.h
@@ -9,22 +9,23 @@
 
 namespace kingcuptrail {
 
-/// Earlier attempts a request may name. A caller's retries are few; more is a fault or an attack.
+/// The maximum number of earlier attempts a request may name. Callers retry a few times only; more indicates a fault or an
+/// attack.
 constexpr std::size_t maxEarlierAttempts = 8;
 
 struct AttemptsOptions {
-    /// Test only: off, the request runs without asking.
+    /// Test only: when off, the request runs without a query to the earlier owners.
     bool guard = true;
 };
 
-/// One earlier owner and what became of the key there.
+/// One earlier owner and its answer about the idempotency key.
 struct EarlierAttempt {
     OwnerToken owner;
     std::optional<LedgerState> answer;
     bool unreachable = false;
 };
 
-/// What the earlier owners of a resent request have answered so far.
+/// The answers of the earlier owners of a resent request so far.
 struct EarlierAttempts {
     std::vector<EarlierAttempt> attempts;
     bool tooMany = false;
@@ -41,22 +42,23 @@
     static constexpr std::array<std::string_view, 3> names { "run", "wait", "refuse" };
 };
 
-/// `refusal` counts only with Refuse.
+/// `refusal` is valid only with Refuse.
 struct AttemptsVerdict {
     AttemptsDecision decision = AttemptsDecision::Wait;
     RefusalVerdict refusal;
 };
 
-/// Begins with the owners the request names. `mine` is left out: the own ledger answers for it.
+/// Collects the owners that the request names. The own process, `mine`, is left out since its own ledger is checked
+/// separately.
 EarlierAttempts startAttempts(std::span<const OwnerToken> owners, const OwnerToken& mine);
 
-/// Takes an owner's answer. The first answer of an owner stands; an answer after noteUnreachable() is too late.
+/// Records an owner's answer. Only the first answer of an owner counts, and none after noteUnreachable().
 void noteAnswer(EarlierAttempts&, const OwnerToken& owner, LedgerState);
 
-/// The owner is gone, or its answer did not come in time.
+/// Records that the owner is gone or has not answered in time.
 void noteUnreachable(EarlierAttempts&, const OwnerToken& owner);
 
-/// Whether the request may run here now. Once it is Run or Refuse it stays so.
+/// Decides whether the request may run here now. Run and Refuse are final.
 AttemptsVerdict decideAttempts(const EarlierAttempts&, const AttemptsOptions& options = {});
 
 }
--- a/src/libdecision/closedflows.cpp
+++ b/src/libdecision/closedflows.cpp
@@ -12,11 +12,11 @@
 
 }
 
-// Failure: a balancer stands still with a flow's open and first request in its hands, goes on when the flow has long
-// ended, and sends them. The agent would open the flow again and run the request: work that its caller was told had not
-// run. Flow ids are drawn at random and never used again, so an open of a flow that ended here can only be such a copy.
-// The reason is kept because the one packet that told it may be lost: a caller whose idle flow was closed by a leaving
-// agent would hear that its flow is unknown, and count a broken one.
+// A balancer that was paused may deliver a flow's open and first request long after the flow was closed. Without this record
+// the agent would open the flow again and run a request that its caller was told had not run. Flow ids are random and never
+// reused, so an open of a closed flow is always such a late copy. The reason is kept because the packet that reported it may
+// be lost: the caller of an idle flow that a draining agent closed would otherwise be told that the flow is unknown and
+// count it as broken.
 void noteClosed(ClosedFlows& closed, const ClosedFlowOptions& options, FlowId flow, RefusalReason reason, Millis now)
 {
     if (!options.guard || !closed.reasons.emplace(flow, reason).second)
--- a/src/libdecision/closedflows.h
+++ b/src/libdecision/closedflows.h
@@ -10,29 +10,32 @@
 namespace kingcuptrail {
 
 struct ClosedFlowOptions {
-    /// How long an ended flow is remembered, in milliseconds: longer than a link stays up while its balancer stands still.
+    /// How long a closed flow is remembered, in milliseconds. This must be longer than a link stays up while its balancer is
+    /// paused.
     Millis keepFor = 60000;
-    /// Flows remembered at most; about 80 bytes each. 10,000 cover all flows of a target that ends them at once, and
-    /// some ten a second besides.
+    /// The maximum number of flows remembered, about 80 bytes each. 10,000 cover all flows of an upstream that closes them
+    /// at once, plus about ten a second.
     std::size_t maxEntries = 10000;
-    /// Test only: off, nothing is remembered.
+    /// Test only: when off, nothing is remembered.
     bool guard = true;
 };
 
-/// Flows that an agent held and that have ended a short while ago, with the reason.
+/// Flows of this agent that were closed recently, with the reason.
 struct ClosedFlows {
     std::unordered_map<FlowId, RefusalReason> reasons;
-    /// Oldest first, with the time each ended.
+    /// The flows with their closing times, oldest first.
     std::deque<std::pair<FlowId, Millis>> order;
 };
 
-/// Remembers a flow that has ended; FlowUnknown when its caller closed it. When full, the one that ended longest ago goes.
+/// Records a closed flow; the reason is FlowUnknown if its caller closed it. When the table is full, the oldest entry is
+/// removed.
 void noteClosed(ClosedFlows&, const ClosedFlowOptions&, FlowId, RefusalReason, Millis now);
 
-/// Why the flow has ended here, if it has; it must not be opened again, and its late packets are told this reason.
+/// The reason for which the flow was closed here, or nothing. Such a flow must not be opened again, and its late packets are
+/// reset with this reason.
 std::optional<RefusalReason> closedReason(const ClosedFlows&, FlowId);
 
-/// Forgets flows that ended longer than `keepFor` ago; says how many.
+/// Removes flows that were closed longer than `keepFor` ago and returns their number.
 std::size_t expireClosed(ClosedFlows&, const ClosedFlowOptions&, Millis now);
 
 }
--- a/src/libdecision/concurrencylimit.cpp
+++ b/src/libdecision/concurrencylimit.cpp
@@ -7,26 +7,28 @@
 
 namespace {
 
-    /// Samples before the baseline is trusted to tell a rise.
+    /// Samples needed before the baseline is used to detect a rise.
     constexpr std::uint32_t trustedSamples = 8;
-    /// Weight of one sample once the baseline is settled: it follows a lasting change within some 50 requests.
+    /// Weight of one sample in a settled baseline, which follows a lasting change within about 50 requests.
     constexpr double baselineWeight = 0.02;
-    /// A rise is sudden beyond 3 means and 4 deviations: with exponential service times, one request in 400.
+    /// A service time is a sudden rise above 3 means and 4 deviations. With exponential service times, one request in 400
+    /// exceeds this by chance.
     constexpr double riseMeans = 3;
     constexpr double riseDeviations = 4;
-    /// While a known upstream is proved anew, less counts as a rise: being wrong only costs a few more successes.
+    /// After an idle time, a smaller rise counts. A false detection only costs a few more successes.
     constexpr double provingMeans = 1.5;
     constexpr double provingDeviations = 2;
     constexpr double provingStep = 0.5;
-    /// Below this a rise is the noise of scheduling, in milliseconds.
+    /// Smaller rises are attributed to scheduling noise, in milliseconds.
     constexpr double leastRise = 10;
-    /// Slow requests in a row that make the upstream cold: by chance, less than one in ten million.
+    /// Consecutive slow requests after which the upstream counts as cold. By chance this happens less than once in ten
+    /// million requests.
     constexpr std::uint32_t slowUntilCold = 3;
     constexpr double slowCut = 0.7;
     constexpr std::uint32_t longestStretch = 4;
-    /// A limit at which work was shed twice is left alone for this many warm-ups.
+    /// A limit at which the upstream shed twice is avoided for this many warm-ups.
     constexpr Millis ceilingWarmUps = 10;
-    /// Keeps a sum such as 0.7 + 0.3 from missing a whole slot by rounding.
+    /// Tolerance for rounding errors, so that a sum such as 0.7 + 0.3 counts as a whole slot.
     constexpr double rounding = 1e-6;
 
     bool hasBaseline(const ConcurrencyLimit& limit)
@@ -41,10 +43,10 @@
         return options.slots;
     }
 
-    // Load: every balancer's flows wait for an upstream that has just started, as after a data centre's return.
-    // Harm: the successes of its first light requests would let the limit double every few milliseconds, and the
-    // upstream falls over under its full load.
-    // Limit: a straight line over the warm-up; successes alone cannot outrun it, time alone cannot move it.
+    // The highest limit that the warm-up allows now: a straight line over the warm-up time. After a data centre's return,
+    // the flows of every balancer wait for an upstream that has just started. If successes alone raised the limit, its first
+    // light requests would double it every few milliseconds, and the upstream would collapse under its full load. The limit
+    // rises only with successes, and never above this line.
     double warmUpBound(const ConcurrencyLimit& limit, const LimitOptions& options, Millis now)
     {
         const double highest = highestLimit(limit, options, now);
@@ -55,10 +57,9 @@
         return 1 + (highest - 1) * std::clamp(passed, 0.0, 1.0);
     }
 
-    // Load: an upstream that takes longer to warm up than configured.
-    // Harm: its warm-up is cut short at the same point each time, and it never comes further (with four times the
-    // configured time, it stayed at a fifth of its slots).
-    // Limit: twice the time after each, up to four times, beyond which the configuration is wrong.
+    // An upstream that takes longer to warm up than configured fails at the same point of each warm-up and never gets
+    // further; with four times the configured time it stays at a fifth of its slots. Each failed warm-up therefore doubles
+    // the time, up to four times the configured value; a longer warm-up is a configuration error.
     void stretchWarmUp(ConcurrencyLimit& limit)
     {
         if (limit.cold && !limit.proving && limit.limit > 1)
@@ -71,10 +72,9 @@
         limit.ceilingUntil = until;
     }
 
-    // Load: an upstream that bears less than its configured slots.
-    // Harm: it sheds at full concurrency, warms up again, sheds again: half of what it bears is lost for good.
-    // Limit: only the same limit shed at twice while warm counts, since once may be a cold start; after ten warm-ups it is
-    // tried again, since the upstream may have been mended.
+    // An upstream that can serve less than its configured slots would shed at full concurrency, warm up and shed again, and
+    // lose half of its capacity. The limit is lowered only after two sheds at the same limit while warm, since a single one
+    // may be a cold start. After ten warm-ups the higher limit is tried again, since the upstream may have been repaired.
     void learnCeiling(ConcurrencyLimit& limit, const LimitOptions& options, Millis now)
     {
         const std::uint32_t allowed = allowedConcurrency(limit, options);
@@ -85,11 +85,11 @@
         limit.shedAt = allowed;
     }
 
-    // Load: an upstream that refuses connections or sheds at a concurrency of one.
-    // Harm: the queue is emptied into it within milliseconds, each request ending in a refusal that a short wait
-    // would have spared; and an upstream on its way up is hit as fast as it can refuse.
-    // Limit: doubling from 50 ms, about a process's shortest start, to 1 s, so that a returned upstream gets work
-    // within a second. Failures of work that began before the pause do not lengthen it.
+    // Pauses starts after failures. If an upstream refuses connections or sheds at a concurrency of one, the queue would be
+    // sent to it within milliseconds, each request ending in a refusal that a short wait would have avoided, and a starting
+    // upstream would be hit as fast as it can refuse. The pause doubles from 50 ms, about the shortest start of a process,
+    // to 1 s, so that a recovered upstream gets work within a second. Failures of requests that started before the pause do
+    // not prolong it.
     void pauseStarts(ConcurrencyLimit& limit, const LimitOptions& options, Millis now)
     {
         if (now < limit.pausedUntil)
@@ -110,10 +110,10 @@
         pauseStarts(limit, options, now);
     }
 
-    // Load: an upstream that turns cold without warning, and answers several times slower rather than failing.
-    // Harm: with all slots in use it falls over before the first failure shows.
-    // Limit: the first slow request cuts the limit, so that what ends is not replaced while it is in doubt; three in
-    // a row make it cold. One slow request alone is an ordinary outlier and costs a round of growth.
+    // An upstream may turn cold without warning and answer several times slower instead of failing; with all slots in use it
+    // would collapse before the first failure. The first slow request lowers the limit, so that requests that end are not
+    // replaced until it is clear whether the upstream is cold. Three consecutive slow requests make it cold. A single slow
+    // request is an ordinary outlier and costs one round of growth.
     void noteSlow(ConcurrencyLimit& limit)
     {
         if (++limit.slowInRow >= slowUntilCold) {
@@ -124,10 +124,10 @@
         limit.limit = std::max(1.0, limit.limit * slowCut);
     }
 
-    // Load: an upstream whose peak was found while it still warmed up, or while its host was shared.
-    // Harm: kept at the peak of that time, it stays at part of what it bears long afterwards.
-    // Limit: one warm-up the first time; twice as long each time the same peak is found again, up to ten. Beyond a peak
-    // that was found, each level is measured before the next, or growth would pass all of them before one can tell.
+    // Holds the limit at a peak that was found. The peak may have been found during a warm-up or while the host was shared,
+    // and holding it for long would leave capacity unused. It is held for one warm-up first, and twice as long each time the
+    // same peak is found again, up to ten warm-ups. Above a known peak each level is measured before the next one is tried,
+    // since growth would otherwise pass all levels before they can be compared.
     void keepPeak(ConcurrencyLimit& limit, const LimitOptions& options, std::uint32_t level, Millis now)
     {
         const bool isSame = limit.keptLevel == level;
@@ -205,9 +205,8 @@
     return static_cast<double>(serviceTime) > std::max(rise, limit.baseline.mean + leastRise);
 }
 
-// Failure: an upstream is down for a while and then starts cold. Counted from the last refused connection, the warm-up
-// would run ahead of the upstream's own by the length of the pause, and put it above what it bears. So its clock starts
-// at the first answer.
+// The warm-up is timed from the first success, not from the last refused connection. Otherwise it would run ahead of the
+// upstream's own warm-up by the length of the pause, and the limit would exceed what the upstream can serve.
 void startCold(ConcurrencyLimit& limit)
 {
     limit.limit = 1;
@@ -221,11 +220,10 @@
     ++limit.coldStarts;
 }
 
-// Load: the first burst after a quiet time.
-// Harm: an upstream that was restarted meanwhile has given no sign, and would get the burst at full concurrency.
-// Limit: two rounds of successes for each slot prove it in some ten service times; the baseline stays, so a cold upstream
-// shows by its first slow request. A search for the peak ends, or its trial would hold the limit at one while only long
-// work comes, which says nothing of the peak.
+// After a long idle time the upstream may have been restarted unnoticed, and the next burst would reach it at full
+// concurrency. The limit therefore restarts at one and rises over two rounds of successes for each slot, about ten service
+// times in all. The baseline is kept, so that the first slow request reveals a cold upstream. A running peak search is
+// aborted: its trial would hold the limit at one while only long work arrives, which has no comparable service times.
 void noteIdleStart(ConcurrencyLimit& limit, const LimitOptions& options, Millis now)
 {
     if (!limit.lastCompletion || now - *limit.lastCompletion < options.idleBeforeProof)
--- a/src/libdecision/concurrencylimit.h
+++ b/src/libdecision/concurrencylimit.h
@@ -8,16 +8,16 @@
 
 namespace kingcuptrail {
 
-/// How a piece of work ended at the upstream.
+/// How a request ended at the upstream.
 enum class WorkOutcome : std::uint8_t {
     Succeeded,
-    /// The upstream itself turned it away (503, 429) without running it.
+    /// The upstream rejected it (503, 429) without running it.
     Shed,
-    /// The connection was refused or broke, or the answer was not whole.
+    /// The connection was refused or lost, or the answer was incomplete.
     Failed,
     /// Its deadline passed while it ran.
     TimedOut,
-    /// The caller withdrew it while it ran.
+    /// The caller cancelled it while it ran.
     Cancelled,
 };
 
@@ -26,79 +26,83 @@
     static constexpr std::array<std::string_view, 5> names { "succeeded", "shed", "failed", "timedOut", "cancelled" };
 };
 
-/// How far and how fast the concurrency limit moves.
+/// Bounds and rates of the concurrency limit.
 struct LimitOptions {
-    /// What the upstream bears when warm; the limit never exceeds it.
+    /// The number of concurrent requests that a warm upstream can serve. The limit never exceeds it.
     std::uint32_t slots = 1;
-    /// The shortest time from cold to all slots, in milliseconds.
+    /// The minimum time in which the limit rises from one slot to all slots, in milliseconds.
     Millis warmUp = 10000;
-    /// The first and the longest pause after failures in a row at a cold upstream, in milliseconds.
+    /// The first and the longest pause after consecutive failures of a cold upstream, in milliseconds.
     Millis firstPause = 50;
     Millis longestPause = 1000;
-    /// After this long without work, the limit is proved anew from one, by successes alone, in milliseconds.
+    /// After this long without work the limit restarts at one and rises with successes alone, in milliseconds.
     Millis idleBeforeProof = 30000;
-    /// Test only: off, the limit is always `slots`.
+    /// Test only: when off, the limit is always `slots`.
     bool guard = true;
 };
 
-/// How many pieces of work one upstream may have at the same time, as its agent has learned it.
+/// The number of requests that one upstream may process at the same time, as learned by its agent.
 struct ConcurrencyLimit {
-    /// The learned limit; whole slots of it count.
+    /// The learned limit; only whole slots of it are used.
     double limit = 1;
-    /// Cold from the start, or from the last sign of a cold upstream, until all slots are reached.
+    /// Whether the upstream is warming up: from the start, or from the last sign of a cold upstream, until all slots are in
+    /// use.
     bool cold = true;
-    /// Cold only because of a long idle time: not bound to the warm-up's clock, and quick to find the upstream cold.
+    /// Cold only because of a long idle time. The limit does not follow the warm-up's schedule, and a smaller rise of the
+    /// service time counts as a sign of a cold upstream.
     bool proving = false;
-    /// When the warm-up began, with the first answer; nothing before.
+    /// When the warm-up began, which is the time of the first success; nothing before.
     std::optional<Millis> coldSince;
-    /// The warm-up is stretched by this factor after the upstream shed work while it was warming up.
+    /// The factor by which the warm-up is prolonged after the upstream shed work during a warm-up.
     std::uint32_t stretch = 1;
-    /// Nothing may start before this time.
+    /// No request may start before this time.
     Millis pausedUntil = 0;
     std::uint32_t failuresInRow = 0;
-    /// Service time of short work, learned over many requests.
+    /// The service time of short work, learned over many requests.
     ServiceTime baseline;
     std::uint32_t slowInRow = 0;
-    /// When work last ended here.
+    /// When a request last ended here.
     std::optional<Millis> lastCompletion;
-    /// Where the upstream gets most done.
+    /// The search for the concurrency with the highest throughput.
     PeakSearch peak;
-    /// The peak found last, and how long the limit was kept there.
+    /// The peak found last, and how long the limit is held there, in milliseconds.
     std::uint32_t keptLevel = 0;
     Millis keptFor = 0;
-    /// The limit at which the upstream last shed, and the bound learned from sheds or the peak until the time given.
+    /// The limit at which the upstream last shed, and the upper bound learned from sheds or from the peak with its expiry
+    /// time.
     std::uint32_t shedAt = 0;
     std::uint32_t ceiling = 0;
     Millis ceilingUntil = 0;
-    /// How often the upstream was found cold, for the counters.
+    /// How often the upstream was found cold, for metrics.
     std::uint64_t coldStarts = 0;
 };
 
-/// What ended, and under which load.
+/// One request that ended, and the load at that time.
 struct LimitSample {
     WorkOutcome outcome = WorkOutcome::Succeeded;
-    /// Whether its service time says something about the upstream; long work's depends on its size.
+    /// Whether its service time can be compared with that of other requests. The service time of long work depends on its
+    /// size.
     bool measured = true;
     Millis serviceTime = 0;
-    /// Work at the upstream when it ended, itself included.
+    /// Requests at the upstream when it ended, itself included.
     std::uint32_t busy = 1;
-    /// Holds the limit where it is: a hint asks for care.
+    /// Keeps the limit from rising because a hint reports an unhealthy or occupied upstream.
     bool holdGrowth = false;
 };
 
-/// Moves the limit by one piece of work that ended.
+/// Updates the limit with a request that ended.
 void noteCompletion(ConcurrencyLimit&, const LimitOptions&, const LimitSample&, Millis now);
 
-/// To be called before work starts at an upstream that has none: after a long idle time the limit is proved anew.
+/// Restarts the limit at one after a long idle time. To be called before a request starts at an idle upstream.
 void noteIdleStart(ConcurrencyLimit&, const LimitOptions&, Millis now);
 
-/// Begins a warm-up: one slot, and nothing that was learned of the service time stands.
+/// Starts a warm-up: sets the limit to one slot and discards the learned service time.
 void startCold(ConcurrencyLimit&);
 
-/// The work that may be at the upstream now: at least 1, at most `slots`.
+/// The number of requests that may be at the upstream now: at least 1, at most `slots`.
 std::uint32_t allowedConcurrency(const ConcurrencyLimit&, const LimitOptions&);
 
-/// Whether the service time is a sudden rise against the learned baseline.
+/// Whether the service time is a sudden rise above the learned baseline.
 bool isSuddenRise(const ConcurrencyLimit&, Millis serviceTime);
 
 }
--- a/src/libdecision/configorder.cpp
+++ b/src/libdecision/configorder.cpp
@@ -4,9 +4,9 @@
 
 namespace kingcuptrail {
 
-// Failure: a slow watch or a peer that was cut off delivers an older configuration after a newer one. It would show as a
-// data centre that comes back into use by itself. Versions are given out by the platform's conditional write and only
-// grow, so a comparison is enough, whatever order news arrives in.
+// A slow watch or a peer that was partitioned may deliver an older configuration after a newer one, which could bring a data
+// centre back into use by itself. The platform's conditional write only assigns growing versions, so comparing versions is
+// enough for any order of delivery.
 bool supersedes(ConfigVersion held, ConfigVersion offered, const ConfigOrderOptions& options)
 {
     if (!options.guard)
@@ -14,9 +14,9 @@
     return offered > held;
 }
 
-// Failure: a data centre comes back, its agents open flows, and a balancer that has not heard of the return resets them
-// as given up: a feed cut by a planned change. Heartbeats name each balancer's version, so the agent waits for those it
-// is linked to; one that stands still is no longer linked after a while, and reads its news first when it goes on.
+// A balancer that has not received the return of a data centre resets the flows that its agents open, so that a planned
+// change would cut feeds. Heartbeats carry each balancer's version, and the agent waits for all balancers linked to it. The
+// link of a paused balancer is closed after a while, and a resumed balancer reads its pending messages first.
 bool mayReturn(ConfigVersion back, std::span<const ConfigVersion> balancers, const ConfigOrderOptions& options)
 {
     return !options.returnGuard || std::ranges::all_of(balancers, [back](ConfigVersion version) { return version >= back; });
--- a/src/libdecision/configorder.h
+++ b/src/libdecision/configorder.h
@@ -8,25 +8,25 @@
 namespace kingcuptrail {
 
 struct ConfigOrderOptions {
-    /// Test only: off, whatever is offered last is put in force.
+    /// Test only: when off, the configuration offered last is always applied.
     bool guard = true;
-    /// Test only: off, a data centre that came back takes new flows at once.
+    /// Test only: when off, a data centre that was brought back accepts new flows at once.
     bool returnGuard = true;
 };
 
-/// Whether an offered configuration is put in force in place of the held one; version 0 is none at all.
+/// Whether an offered configuration replaces the current one. Version 0 means no configuration.
 bool supersedes(ConfigVersion held, ConfigVersion offered, const ConfigOrderOptions& options = {});
 
-/// Whether an agent whose data centre came back with the configuration `back` may take new flows, given the versions that
-/// its linked balancers have named.
+/// Whether an agent whose data centre was brought back by configuration `back` may accept new flows, given the versions that
+/// its linked balancers have reported.
 bool mayReturn(ConfigVersion back, std::span<const ConfigVersion> balancers, const ConfigOrderOptions& options = {});
 
-/// What to do with a peer whose heartbeat names a version.
+/// What to do with a peer whose heartbeat carries a configuration version.
 enum class ConfigStep : std::uint8_t {
     Nothing,
-    /// The peer is ahead: ask it.
+    /// The peer is ahead: request its configuration.
     Fetch,
-    /// The peer is behind: send it ours.
+    /// The peer is behind: send it the own configuration.
     Offer,
 };
 
@@ -35,7 +35,7 @@
     static constexpr std::array<std::string_view, 3> names { "nothing", "fetch", "offer" };
 };
 
-/// The step towards a peer at version `theirs`.
+/// The step for a peer at version `theirs`.
 ConfigStep nextConfigStep(ConfigVersion mine, ConfigVersion theirs);
 
 }
--- a/src/libdecision/drain.cpp
+++ b/src/libdecision/drain.cpp
@@ -9,8 +9,9 @@
         return progress.announced && now - progress.announcedAt >= options.announceGrace;
     }
 
-    // Failure: the one packet that tells a caller of its idle flow's end is lost with a balancer, and the agent exits at once.
-    // The caller's next packet would meet the successor, which can only say that the owner is gone: a broken flow.
+    // The packet that reports the close of an idle flow may be lost with a balancer. If the agent exited at once, the
+    // caller's next packet would reach the successor, which can only report that the owner is gone, and the flow would count
+    // as broken.
     bool callersWereTold(const DrainProgress& progress, const DrainOptions& options, Millis now)
     {
         return progress.lastClosedAt == 0 || now - progress.lastClosedAt >= options.closeGrace;
@@ -18,11 +19,11 @@
 
 }
 
-// Load: an upstream leaves with some 2,000 flows, most of them idle between two queries.
-// Harm: waiting for callers to close them, the leaving would take a shift; closing one with a request or a feed in
-// progress cuts it, and closing before the balancers know brings the caller straight back.
-// Limit: only flows without anything pending, and idle for a second, which covers a request that is on its way; only
-// after the announcement's grace. A caller told of the close opens its next flow elsewhere and has lost nothing.
+// An upstream may drain with some 2,000 flows, most of them idle between two queries. Waiting for the callers to close them
+// could take hours. Closing a flow with a request or a feed in progress cuts it, and closing before the balancers know of
+// the drain brings the caller straight back. So only flows without pending requests that were idle for a second, which
+// covers a request in transit, are closed, and only after the announcement's grace period. A caller that is notified of the
+// close opens its next flow elsewhere and loses nothing.
 DrainFlowStep drainFlow(const DrainFlow& flow, const DrainProgress& progress, const DrainOptions& options, Millis now)
 {
     if (flow.pending > 0 || !newsIsOut(progress, options, now))
@@ -30,10 +31,10 @@
     return now - flow.idleSince >= options.idleBeforeClose ? DrainFlowStep::CloseIdle : DrainFlowStep::Keep;
 }
 
-// Load: an upstream leaves with a seventh or a third of its service's flows, and requests go on coming over them.
-// Harm: refused from the first moment, their callers try them again at once, and the retry budget of a tenth is spent
-// before the idle flows are closed: a planned change answered with refusals.
-// Limit: until the news is out, when the idle flows are closed and what comes after is new work.
+// A draining upstream may hold a seventh or a third of its service's flows. If it refused their requests at once, the
+// callers would retry immediately and use up the retry budget, a tenth of their first tries, before the idle flows are
+// closed. Requests are therefore served until the announcement has reached the balancers; from then on idle flows are closed
+// and later requests are new work.
 bool refusesNewWork(const DrainProgress& progress, const DrainOptions& options, Millis now)
 {
     return newsIsOut(progress, options, now);
--- a/src/libdecision/enumnames.h
+++ b/src/libdecision/enumnames.h
@@ -7,12 +7,12 @@
 
 namespace kingcuptrail {
 
-/// The table of names of an enumeration. Each enumeration specialises it beside its definition:
-/// `names` holds one name for each enumerator, in order, counted from 0.
+/// The names of an enumeration's values. Each enumeration specialises this template next to its definition: `names` holds
+/// one name for each enumerator, in order, starting at 0.
 template <typename Enum>
 struct EnumNames;
 
-/// The name of a value; "unknown" for a number outside the table, as a foreign peer may send.
+/// The name of a value, or "unknown" for a number outside the table, which a peer of another version may send.
 template <typename Enum>
 constexpr std::string_view nameOf(Enum value)
 {
@@ -31,7 +31,7 @@
     return std::nullopt;
 }
 
-/// The value with this number, or nothing when the table does not reach so far.
+/// The value with this number, or nothing if it is outside the table.
 template <typename Enum>
 constexpr std::optional<Enum> fromNumber(std::size_t number)
 {
--- a/src/libdecision/forwarding.cpp
+++ b/src/libdecision/forwarding.cpp
@@ -9,8 +9,8 @@
         return { PacketAction::ReplyReset, reason };
     }
 
-    // A packet that has used up its hops is dropped, not reset: this agent cannot know that no other holds the flow, and
-    // a reset would break one that lives. The endpoints send it again, and give a dead flow up by its silence.
+    // Forwards a packet, or drops it when its hops are used up. It is not reset, since another agent may hold the flow and
+    // the reset would break it. The endpoints retransmit, and close a dead flow by its timeout.
     PacketVerdict passOn(const PacketFacts& facts, PacketAction action)
     {
         if (facts.hops >= maxHops)
@@ -18,11 +18,10 @@
         return { action, RefusalReason::None };
     }
 
-    // Failure: an address has moved from one service to another, a balancer has not heard of it yet, and its packets
-    // arrive at the old service's upstreams. It would show as one service's upload at another service. Only the agent can know, since
-    // only it knows which service its upstream belongs to; a held flow keeps the address it was opened with.
-    // Such a packet of a held flow is dropped, not reset: the flow itself is in order, and one stray packet must not end
-    // a feed.
+    // When an address moves from one service to another, a balancer with an old configuration sends its packets to upstreams
+    // of the old service, and one service could get another's uploads. Only the agent can check this, since it knows the
+    // service of its upstream; an open flow keeps the address it was opened with. Such a packet of an open flow is dropped,
+    // not reset, because the flow itself is intact and one misdirected packet must not end a feed.
     bool serviceIsRight(const PacketFacts& facts, const ForwardingOptions& options)
     {
         return facts.serviceMatches || !options.serviceGuard;
@@ -37,8 +36,8 @@
         return { PacketAction::Deliver, RefusalReason::None };
     }
 
-    // Only the process that a token names can say that its flow has ended; a successor can say it of its predecessor,
-    // since its incarnation was given out only when the predecessor's had been fenced.
+    // Only the process that a token names can state that its flow has ended. A successor can state it for its predecessor,
+    // since its incarnation was assigned only after the predecessor was fenced.
     PacketVerdict decideOwned(const PacketFacts& facts)
     {
         if (facts.tokenIsMine)
--- a/src/libdecision/forwarding.h
+++ b/src/libdecision/forwarding.h
@@ -6,8 +6,8 @@
 
 namespace kingcuptrail {
 
-/// Times a packet may be passed on. A flow's holder is its first or second choice, or one redirect away; each uneven
-/// view adds one. More would let a packet whose flow is gone circle.
+/// The maximum number of times a packet is forwarded. A flow's owner is its first or second choice, or one redirect away;
+/// each inconsistent view adds one hop. With a higher limit a packet of a closed flow could circulate.
 constexpr std::uint8_t maxHops = 4;
 
 /// What an agent does with a packet.
@@ -25,38 +25,38 @@
     static constexpr std::array<std::string_view, 6> names { "deliver", "open", "forwardToOwner", "nextInRanking", "replyReset", "drop" };
 };
 
-/// What an agent knows of a packet that has come from a balancer.
+/// What an agent knows about a packet that a balancer sent.
 struct PacketFacts {
     bool isOpen = false;
     bool hasToken = false;
-    /// The token names this process.
+    /// The owner token names this process.
     bool tokenIsMine = false;
-    /// The token names an older incarnation of this agent's upstream.
+    /// The owner token names an older incarnation of this agent's upstream.
     bool tokenIsPredecessor = false;
     bool holdsFlow = false;
-    /// The flow was held here and has ended a short while ago, for this reason.
+    /// The reason for which the flow was closed here recently.
     std::optional<RefusalReason> endedFor;
     bool redirectFound = false;
-    /// For a flow held here: the packet's address is the one recorded at open. Otherwise: it is an address configured
-    /// for this agent's service.
+    /// For a flow held here: the packet's address is the one recorded at open. Otherwise: the address is configured for this
+    /// agent's service.
     bool serviceMatches = false;
     std::uint8_t hops = 0;
     bool draining = false;
     bool dataCentreOut = false;
 };
 
-/// `reason` counts with ReplyReset, and is counted with Drop.
+/// `reason` is sent with ReplyReset and only counted with Drop.
 struct PacketVerdict {
     PacketAction action = PacketAction::Drop;
     RefusalReason reason = RefusalReason::None;
 };
 
 struct ForwardingOptions {
-    /// Test only: off, the packet's address is not looked at.
+    /// Test only: when off, the packet's address is not checked.
     bool serviceGuard = true;
 };
 
-/// Decides on one packet. Deliver and Open only ever come with `serviceMatches`.
+/// Decides what to do with one packet. Deliver and Open are returned only if `serviceMatches`.
 PacketVerdict decidePacket(const PacketFacts&, const ForwardingOptions& options = {});
 
 }
--- a/src/libdecision/idleclose.h
+++ b/src/libdecision/idleclose.h
@@ -5,23 +5,23 @@
 namespace kingcuptrail {
 
 struct IdleCloseOptions {
-    /// How much the lives of connections that a server closes for being idle may differ: a part of the usual life, and at
+    /// How much the lifetimes of idle connections that a server closes may differ: a part of the usual lifetime, and at
     /// least this, in milliseconds.
     double variation = 0.1;
     Millis leastVariation = 1000;
 };
 
-/// What the ends of idle connections to one server have shown.
+/// The history of idle connections that one server closed.
 struct IdleCloseHistory {
-    /// How long the last one that ended without a word had been held, in milliseconds; 0 before the first.
+    /// How long the last connection that was closed without further data had been open, in milliseconds; 0 before the first.
     Millis usualLife = 0;
 };
 
-/// Whether the end of an idle connection that was held for `life` shows a restart of the server. `toldWhy`: the server sent
-/// something before it closed.
-/// Load: an upstream without work is restarted within milliseconds. Harm: neither a request nor a refused connection shows
-/// it, and the next callers meet a cold process with the load of a warm one.
-/// Limit: a server that closes idle connections does so after about the same time, which is learned from the first one.
+/// Whether the close of an idle connection of age `life` indicates a restart of the server. `toldWhy` is set if the server
+/// sent something before it closed the connection.
+/// A restart of an idle upstream takes milliseconds and shows neither in a request nor in a refused connection, and the cold
+/// process would get the load of a warm one. Servers that close idle connections do so after a similar time, which is
+/// learned from the first such close.
 bool showsRestart(IdleCloseHistory&, const IdleCloseOptions&, Millis life, bool toldWhy);
 
 }
--- a/src/libdecision/ids.h
+++ b/src/libdecision/ids.h
@@ -8,22 +8,22 @@
 /// A length of time or a point on a monotonic clock, in milliseconds.
 using Millis = std::int64_t;
 
-/// Names one flow; chosen at random by the caller.
+/// Identifies one flow; chosen at random by the caller.
 using FlowId = std::uint64_t;
 
-/// Names one upstream; the hash of its configured name, never 0.
+/// Identifies one upstream: the hash of its configured name, never 0.
 using UpstreamId = std::uint64_t;
 
-/// Counts the processes that have spoken for one upstream; given out by the platform's conditional update, never 0.
+/// Counts the agent processes of one upstream. Assigned by a conditional update on the platform, never 0.
 using Incarnation = std::uint64_t;
 
 /// The address end users connect to: IPv4 address << 16 | port.
 using ServiceAddress = std::uint64_t;
 
-/// Orders accepted configurations; each accepted one has a larger version than the last.
+/// The version of an accepted configuration. Each accepted configuration has a larger version than the one before.
 using ConfigVersion = std::uint64_t;
 
-/// Says which process owns a flow. A packet that carries one needs no lookup of the flow.
+/// Identifies the process that owns a flow. A packet with a token needs no lookup of the flow.
 struct OwnerToken {
     UpstreamId upstream = 0;
     Incarnation incarnation = 0;
--- a/src/libdecision/lease.cpp
+++ b/src/libdecision/lease.cpp
@@ -18,9 +18,9 @@
     view.lastLook = now;
 }
 
-// Failure: the platform is down for an hour, no holder can renew, and every lease seems to lapse at once: no upstream
-// would get a new flow. Or the observer itself was stopped, and wakes to leases it has not watched. So only time counts
-// in which the platform answered and the observer looked; a stretch between two looks counts for a second at most.
+// During a platform outage no holder can renew, and all leases would lapse at once and leave no upstream for new flows. An
+// observer that was paused has not watched the leases either. Therefore only time counts in which the platform answered and
+// the observer ran, and at most a second between two observations.
 void watchTime(LeaseView& view, const LeaseOptions& options, bool platformAnswers, Millis now)
 {
     const Millis step = std::clamp<Millis>(now - view.lastLook, 0, options.longestStep);
--- a/src/libdecision/ledger.cpp
+++ b/src/libdecision/ledger.cpp
@@ -4,10 +4,11 @@
 
 namespace {
 
-    /// When a request that met a full ledger should come back, in milliseconds: expiry frees entries all the time.
+    /// The retry delay of a request that met a full ledger, in milliseconds. Entries expire continuously.
     constexpr Millis fullRetryAfter = 1000;
 
-    /// Keys forgotten in one call at most: a call stays under some 100 microseconds and cannot hold up packets.
+    /// The maximum number of keys removed in one call. It keeps a call below about 100 microseconds, so that packets are not
+    /// delayed.
     constexpr std::size_t expiredPerCall = 256;
 
     void settle(Ledger& ledger, const std::string& key, LedgerEntry& entry, LedgerState state, Millis now)
@@ -28,10 +29,9 @@
         entry.state = LedgerState::Running;
     }
 
-    // Load: more keys within `keepFor` than the ledger holds.
-    // Harm: to make room by forgetting a key is to let it run twice.
-    // Limit: full means refused as not run, which is true and safe to try elsewhere; only keys older than `keepFor`,
-    // which no caller sends any more, make room.
+    // Removing a key to make room would let its request run twice, so only keys older than `keepFor`, which no caller sends
+    // any more, are removed. When the ledger is still full, requests are refused as not run, which is true and safe to retry
+    // elsewhere.
     bool hasRoom(Ledger& ledger, const LedgerOptions& options, Millis now)
     {
         if (ledger.entries.size() < options.maxEntries)
@@ -87,8 +87,8 @@
     return verdict;
 }
 
-// A key that was asked about while it ran and then turns out not to have run is fenced: the asker was told that it
-// would not run here later, and may run it itself after asking once more.
+// A key that was queried while it ran, and then did not run, is fenced: the other owner relies on it not running here later,
+// and may run it after another query.
 void settleWork(Ledger& ledger, const LedgerOptions&, std::string_view key, LedgerState outcome, Millis now)
 {
     const auto found = ledger.entries.find(std::string(key));
@@ -104,9 +104,9 @@
     settle(ledger, found->first, entry, fenced ? LedgerState::Fenced : outcome, now);
 }
 
-// Failure: a non-idempotent request's flow goes silent, its caller sends it again on a new flow, and the first packet reaches its old
-// owner after the new one has run it. It would show as the same trench booked twice. The answer "never seen" is
-// therefore a promise: the key is entered as fenced before the answer goes out.
+// When a flow of a non-idempotent request becomes silent, its caller sends the request again on a new flow. The first packet
+// may reach the old owner after the new one has run the request, which would then run twice. The answer "never seen" is
+// therefore binding: the key is recorded as fenced before the answer is sent.
 LedgerState queryAndFence(Ledger& ledger, const LedgerOptions& options, std::string_view key, Millis now)
 {
     if (!options.guard)
--- a/src/libdecision/ledger.h
+++ b/src/libdecision/ledger.h
@@ -10,14 +10,14 @@
 
 namespace kingcuptrail {
 
-/// What an owner knows of one idempotency key. The numbers travel on the wire: add at the end only.
+/// What an owner knows about one idempotency key. The numbers are sent on the wire: append only.
 enum class LedgerState : std::uint8_t {
     NeverSeen,
     Running,
     Ran,
     NotRun,
     Unknown,
-    /// Given up to another owner that asked; never runs here.
+    /// Left to another owner that queried the key; it never runs here.
     Fenced,
 };
 
@@ -26,7 +26,7 @@
     static constexpr std::array<std::string_view, 6> names { "neverSeen", "running", "ran", "notRun", "unknown", "fenced" };
 };
 
-/// Whether work under a key may go to the upstream.
+/// Whether a request with a key may be sent to the upstream.
 enum class BeginVerdict : std::uint8_t {
     Run,
     AlreadyRunning,
@@ -42,24 +42,24 @@
 };
 
 struct LedgerOptions {
-    /// Keys held at most. About 200 bytes each.
+    /// The maximum number of keys, about 200 bytes each.
     std::size_t maxEntries = 20000;
-    /// How long a settled key is kept, in milliseconds. Longer than any caller goes on resending a key.
+    /// How long a settled key is kept, in milliseconds. This must be longer than callers resend a key.
     Millis keepFor = 600000;
-    /// Test only: off, every key runs whenever it comes.
+    /// Test only: when off, a request runs each time it arrives.
     bool guard = true;
 };
 
 struct LedgerEntry {
     LedgerState state = LedgerState::Running;
-    /// Another owner has asked about it: it may finish, but not run again.
+    /// Another owner has queried the key: a running request may finish, but must not run again.
     bool asked = false;
-    /// The key's place in the order of settling; 0 while it runs.
+    /// The position in the order in which keys settled; 0 while the request runs.
     std::uint64_t settledOrder = 0;
     Millis settledAt = 0;
 };
 
-/// One agent's record of non-idempotent work by key, so that each runs at most once.
+/// One agent's record of non-idempotent requests by key, so that each runs at most once.
 struct Ledger {
     std::unordered_map<std::string, LedgerEntry> entries;
     /// Settled keys, oldest first.
@@ -67,22 +67,22 @@
     std::uint64_t lastOrder = 0;
 };
 
-/// Enters a key before its work is queued or run. On Run it counts as running until settleWork().
+/// Records a key before its request is queued or run. After Run the key counts as running until settleWork().
 BeginVerdict beginWork(Ledger&, const LedgerOptions&, std::string_view key, Millis now);
 
-/// The final answer to a request whose key may not run here; counts with every verdict but Run. Another try of the same
-/// key that runs or waits here may still be refused from its queue, so its outcome is unknown to this one.
+/// The final answer to a request whose key may not run here; valid for every verdict but Run. Another attempt with the same
+/// key that runs or waits here may still be refused from the queue, so the outcome is unknown for this attempt.
 RefusalVerdict refusalOf(BeginVerdict);
 
-/// Enters the outcome of a running key: Ran, NotRun (nothing reached the upstream) or Unknown. An outcome that was
-/// unknown may still turn into Ran. Anything else is ignored.
+/// Records the outcome of a running key: Ran, NotRun (nothing reached the upstream) or Unknown. Unknown may later change to
+/// Ran; any other change is ignored.
 void settleWork(Ledger&, const LedgerOptions&, std::string_view key, LedgerState outcome, Millis now);
 
-/// Answers another owner that has been asked to run the key. Unless it runs or ran here, it never will afterwards.
-/// Unknown when the ledger has no room to remember that promise.
+/// Answers another owner that got a request with this key. Unless the request runs or ran here, it never will afterwards.
+/// Returns Unknown if the ledger has no room to record this.
 LedgerState queryAndFence(Ledger&, const LedgerOptions&, std::string_view key, Millis now);
 
-/// Forgets keys settled longer than `keepFor` ago, a bounded number in one call; says how many.
+/// Removes keys that settled longer than `keepFor` ago, a bounded number in one call. Returns the number removed.
 std::size_t expireLedger(Ledger&, const LedgerOptions&, Millis now);
 
 }
--- a/src/libdecision/member.h
+++ b/src/libdecision/member.h
@@ -5,15 +5,15 @@
 
 namespace kingcuptrail {
 
-/// What a member may be given.
+/// What balancers may send to a member.
 enum class MemberState : std::uint8_t {
     /// New flows and packets.
     Serving,
-    /// Packets of flows it holds, no new flow.
+    /// Packets of flows it holds, no new flows.
     Draining,
-    /// Its lease has lapsed: packets of flows it holds while its link lives, no new flow.
+    /// Its lease has lapsed: packets of flows it holds while its link is up, no new flows.
     Lapsed,
-    /// Its data centre is taken out: nothing at all.
+    /// Its data centre is taken out: no packets.
     Out,
 };
 
@@ -26,11 +26,11 @@
 struct Member {
     OwnerToken token;
     MemberState state = MemberState::Serving;
-    /// Whether this balancer's link to the agent is up now.
+    /// Whether this balancer's link to the agent is up.
     bool linked = false;
-    /// Whether its process is known to have ended: its address refuses connections or is held by a successor.
+    /// Whether its process is known to have ended, because its address refuses connections or belongs to a successor.
     bool gone = false;
-    /// Open flows by the agent's last news, plus what this balancer has placed there since.
+    /// The number of open flows in the agent's last report, plus those that this balancer has placed there since.
     double load = 0;
 };
 
--- a/src/libdecision/pacing.cpp
+++ b/src/libdecision/pacing.cpp
@@ -6,10 +6,9 @@
 
 namespace kingcuptrail {
 
-// Load: a process with thousands of links, as a balancer before 4,500 targets.
-// Harm: at a fixed interval its heartbeats grow with the fleet and leave the few kilobytes a second that control may take.
-// Limit: the interval stretches so that all links together stay inside the budget. The price is that silence on a link is
-// seen later; a peer's end that the transport reports is seen at once all the same.
+// At a fixed interval the heartbeats of a process with thousands of links, such as a balancer of 4,500 upstreams, would
+// exceed the few kilobytes a second allowed for control traffic. The interval grows so that all links together stay within
+// the budget. A silent link is then detected later, while a disconnect that the transport reports is still detected at once.
 Millis heartbeatInterval(std::size_t links, const PacingOptions& options)
 {
     if (options.budgetBytesPerSecond == 0)
--- a/src/libdecision/peaksearch.cpp
+++ b/src/libdecision/peaksearch.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-    /// Samples before a level's throughput is compared: for service times that vary by half, some 4 % off, and few of
-    /// them began at the level before.
+    /// Samples needed before the throughput of a level is compared. With service times that vary by half, the error is about
+    /// 4 %, and few of the requests started at the level before.
     constexpr std::uint32_t samplesPerLevel = 40;
     constexpr double sampleWeight = 0.025;
-    /// Throughput below this part of the lower level's is put to trial; the trial itself must win by this factor.
+    /// A throughput below this part of the lower level's starts a trial; the lower level wins the trial only by this factor.
     constexpr double suspiciousRatio = 0.9;
     constexpr double winningRatio = 1.05;
 
@@ -60,11 +60,11 @@
 
 }
 
-// Load: an upstream that bears less than its configured slots, or shares its host, and answers slower instead of shedding.
-// Harm: at full concurrency it gets less done than at a lower one (six tenths, for one that bears three of five slots
-// and slows by the square of the excess), and every request takes longer.
-// Limit: one level at a time, and only after a trial in fresh figures: work that has become heavier at every level looks
-// the same until a lower level is tried, and must not cost it a slot. A trial costs some 40 requests at one slot less.
+// An upstream that can serve less than its configured slots, or shares its host, may answer slower instead of shedding. At
+// full concurrency its throughput is then lower than at a smaller limit (six tenths, if it can serve three of five slots and
+// slows by the square of the excess), and every request takes longer. The search moves one level at a time and always
+// compares new measurements of both levels: requests that became heavier at every level look the same until a lower level is
+// tried, and must not cost a slot. A trial costs about 40 requests at one slot less.
 PeakAction notePeakSample(PeakSearch& search, std::uint32_t level, double serviceTime)
 {
     if (level != search.level)
--- a/src/libdecision/peaksearch.h
+++ b/src/libdecision/peaksearch.h
@@ -4,37 +4,37 @@
 
 namespace kingcuptrail {
 
-/// Finds the concurrency beyond which an upstream gets less done, by comparing throughput at neighbouring levels.
+/// Finds the concurrency above which an upstream's throughput falls, by comparing the throughput of neighbouring levels.
 struct PeakSearch {
-    /// The concurrency measured now, and the service time there.
+    /// The concurrency that is being measured, and its service time.
     std::uint32_t level = 0;
     ServiceTime atLevel;
-    /// Requests per millisecond one level below, when that was left upwards; 0 when not known.
+    /// The throughput one level below, in requests per millisecond, if the limit rose from there; 0 if unknown.
     double below = 0;
-    /// A lower level is on trial against the throughput of the one above it.
+    /// Whether a lower level is being compared with `reference`, the throughput of the level above it.
     bool onTrial = false;
     double reference = 0;
-    /// At least one lower level has done better.
+    /// At least one lower level had a higher throughput.
     bool confirmed = false;
 };
 
 enum class PeakAction : std::uint8_t {
-    /// Nothing new.
+    /// Keep the current level.
     Stay,
     /// Measure one level lower.
     Lower,
-    /// The lower level is no better: return, and do not keep below.
+    /// The lower level is not better: return to the level above without holding it.
     Return,
-    /// The lower level is no better than the one above it, which is the best: return and keep there.
+    /// The lower level is not better than the one above it, which is the best: return there and hold it.
     ReturnAndKeep,
-    /// This level, the lowest, is the best: keep there.
+    /// This level, the lowest, is the best: hold it.
     Keep,
 };
 
-/// Takes the service time of a request that ended while the whole limit, `level`, was in use.
+/// Adds the service time of a request that ended while the whole limit, `level`, was in use.
 PeakAction notePeakSample(PeakSearch&, std::uint32_t level, double serviceTime);
 
-/// Whether enough has been measured at this level to compare it.
+/// Whether this level has enough samples for a comparison.
 bool isMeasuredAt(const PeakSearch&, std::uint32_t level);
 
 }
--- a/src/libdecision/placing.cpp
+++ b/src/libdecision/placing.cpp
@@ -18,13 +18,12 @@
 
 }
 
-// Load: thousands of new flows a second over a few members, each balancer with load news about a second old.
-// Harm: one choice leaves the fullest member well above the mean at few flows a target; following the least loaded
-// of all members sends every balancer's flows to the same one until the next news (herding).
-// Limit: two choices, since the second removes most of the imbalance and a third would spread one flow's possible
-// holders over more members, each a hop when news is uneven. Only with news at most 3 s apart: in the model at 2,000
-// flows a target, the fullest was 1.01 times the mean with news every 1 to 3 s, 1.02 every 5 s, 1.10 every 20 s and 1.32
-// every 90 s, since all balancers follow the same old figure; the first choice alone keeps 1.02 to 1.03.
+// With a single choice, the fullest member stays well above the mean load when each upstream has few flows. Following the
+// least loaded of all members would send the flows of every balancer to the same member until the next load report
+// (herding). Two choices remove most of the imbalance; a third would spread the possible owners of a flow over more members,
+// each of which costs a hop when views differ. Load is considered only if reports are at most 3 s apart, since all balancers
+// follow the same old figures: with 2,000 flows for each upstream, the fullest has 1.01 times the mean with reports every 1
+// to 3 s, but 1.02 every 5 s, 1.10 every 20 s and 1.32 every 90 s, while the first choice alone keeps it at 1.02 to 1.03.
 std::optional<Placement> placeFlow(FlowId flow, std::span<const Member> members, const PlaceOptions& options)
 {
     Choice first;
--- a/src/libdecision/reachability.cpp
+++ b/src/libdecision/reachability.cpp
@@ -2,18 +2,17 @@
 
 namespace kingcuptrail {
 
-// Load: an upstream without work is restarted within a tenth of a second; the next callers are on their way.
-// Harm: at the first failure the agent still counts it as warm, and what comes before the second one is handed to a cold
-// process all at once.
+// An idle upstream can be restarted within a tenth of a second. After the first failed connection the agent still counts it
+// as warm, and without this check the requests that arrive before the second failure would all go to a cold process at once.
 bool mayBeReplaced(const Reachability& state, bool isConnected)
 {
     return isConnected == (state.failuresInRow > 0);
 }
 
-// Load: one upstream's process is down while the others of its service carry its share.
-// Harm: its agent refuses everything at once, so it looks least loaded and balancers place more and more flows there.
-// Limit: two failures in a row, since one falls into the moment in which a process is replaced; one accepted connection
-// ends it, and the warm-up that follows keeps the upstream from being hit by what was waiting.
+// The agent of an upstream that is down refuses every request at once, so it looks least loaded and balancers would place
+// more and more flows there. Two consecutive failures are needed, since a single one also occurs while a process is
+// replaced. One accepted connection makes the upstream reachable again; the warm-up that follows protects it from the queued
+// load.
 bool noteContact(Reachability& state, const ReachabilityOptions& options, bool isConnected)
 {
     const bool wasReachable = state.isReachable;
--- a/src/libdecision/redirects.cpp
+++ b/src/libdecision/redirects.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    /// Entries forgotten in one call at most, so that a call cannot hold up packets.
+    /// The maximum number of entries removed in one call, so that packets are not delayed.
     constexpr std::size_t expiredPerCall = 256;
 
     void forgetEntry(Redirects& redirects, std::unordered_map<FlowId, RedirectEntry>::iterator entry)
@@ -27,11 +27,10 @@
 
 }
 
-// Load: flows that a second choice opened, or whose first rank has moved to this agent: tens of thousands when a data
-// centre returns.
-// Harm: without a bound, redirects of flows that ended long ago take the agent's memory.
-// Limit: the entry noted longest ago goes, since its owner has renewed the others; a lost entry costs its flow's next
-// packet without a token up to `maxHops` hops, and packets with a token nothing.
+// Tens of thousands of flows may need a redirect when a data centre returns: those opened by their second choice, and those
+// whose first choice is now this agent. Without a bound, redirects of flows that were closed long ago would use up the
+// agent's memory. The oldest entry is removed first, since owners renew the entries of their open flows. A lost entry costs
+// the next packet without a token up to `maxHops` hops, and packets with a token nothing.
 void noteRedirect(Redirects& redirects, const RedirectOptions& options, FlowId flow, const OwnerToken& owner, Millis now)
 {
     const auto found = redirects.entries.find(flow);
--- a/src/libdecision/redirects.h
+++ b/src/libdecision/redirects.h
@@ -9,12 +9,12 @@
 namespace kingcuptrail {
 
 struct RedirectOptions {
-    /// Whether an agent that opens a flow tells the one that the ranking names first. Off: only packets without an owner
-    /// token look for a flow, and they find it by walking the ranking; docs/MEASUREMENTS.md weighs the two.
+    /// Whether an agent that opens a flow informs the agent that the ranking names first. When off, packets without an owner
+    /// token find their flow by following the ranking; docs/MEASUREMENTS.md compares the two.
     bool announce = false;
-    /// Entries held at most; about 150 bytes each. 4,000 cover two targets' flows moving here at once.
+    /// The maximum number of entries, about 150 bytes each. 4,000 cover the flows of two upstreams that move here at once.
     std::size_t maxEntries = 4000;
-    /// How long an entry is kept without being renewed, in milliseconds.
+    /// How long an entry is kept without renewal, in milliseconds.
     Millis keepFor = 600000;
 };
 
@@ -24,29 +24,29 @@
     Millis notedAt = 0;
 };
 
-/// Who holds the flows that are looked for here, because the ranking names this agent first and another one opened
-/// them. Losing an entry costs hops, never a flow: the packet walks the ranking.
+/// The owners of flows for which the ranking names this agent first, but that another agent opened. A lost entry costs hops
+/// but no flow, since the packet follows the ranking.
 struct Redirects {
     std::unordered_map<FlowId, RedirectEntry> entries;
-    /// Flows, least recently noted first.
+    /// Flows in the order in which they were last recorded, oldest first.
     std::map<std::uint64_t, FlowId> order;
     std::uint64_t lastOrder = 0;
 };
 
-/// Notes the owner of a flow. News from an older incarnation of the noted upstream is ignored. When full, the entry
-/// noted longest ago goes.
+/// Records the owner of a flow. An older incarnation of the recorded upstream is ignored. When the table is full, the oldest
+/// entry is removed.
 void noteRedirect(Redirects&, const RedirectOptions&, FlowId, const OwnerToken& owner, Millis now);
 
-/// The noted owner of a flow, or nothing.
+/// The recorded owner of a flow, or nothing.
 std::optional<OwnerToken> findRedirect(const Redirects&, const RedirectOptions&, FlowId, Millis now);
 
-/// Forgets a flow that has ended.
+/// Removes a flow that was closed.
 void forgetFlow(Redirects&, FlowId);
 
-/// Forgets every flow of an owner that is gone; says how many.
+/// Removes all flows of an owner that is gone and returns their number.
 std::size_t forgetOwner(Redirects&, const OwnerToken& owner);
 
-/// Forgets entries older than `keepFor`, a bounded number in one call; says how many.
+/// Removes entries older than `keepFor`, a bounded number in one call. Returns the number removed.
 std::size_t expireRedirects(Redirects&, const RedirectOptions&, Millis now);
 
 }
--- a/src/libdecision/refusal.h
+++ b/src/libdecision/refusal.h
@@ -5,7 +5,7 @@
 
 namespace kingcuptrail {
 
-/// Whether a refused request reached its upstream.
+/// Whether a refused request was run by its upstream.
 enum class Ran : std::uint8_t {
     No,
     Yes,
@@ -17,7 +17,7 @@
     static constexpr std::array<std::string_view, 3> names { "notRun", "ran", "unknown" };
 };
 
-/// Why a request was refused or a flow was reset. The numbers travel on the wire: add at the end only.
+/// Why a request was refused or a flow was reset. The numbers are sent on the wire: append only.
 enum class RefusalReason : std::uint8_t {
     None,
     QueueFull,
@@ -79,11 +79,11 @@
     };
 };
 
-/// The final answer to a request that was given up on.
+/// The final answer to a refused request.
 struct RefusalVerdict {
     Ran ran = Ran::Unknown;
     RefusalReason reason = RefusalReason::None;
-    /// How long the caller should wait before it comes back, in milliseconds; 0 means at once.
+    /// How long the caller should wait before a retry, in milliseconds; 0 means no wait.
     Millis retryAfter = 0;
 };
 
--- a/src/libdecision/retry.cpp
+++ b/src/libdecision/retry.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    /// Refusals that a second try of the same request would get again.
+    /// Refusals that another try of the same request would get again.
     bool isFinal(RefusalReason reason)
     {
         switch (reason) {
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Refusals that leave the flow as good as it was.
+    /// Refusals after which the flow can still be used.
     bool flowStays(RefusalReason reason)
     {
         return reason == RefusalReason::BodyCorrupt;
@@ -43,7 +43,8 @@
             return RetryReason::NotRun;
         if (facts.idempotent)
             return RetryReason::IdempotentLost;
-        // A silent flow's request may go again only because its new owner asks every earlier one before it runs.
+        // A request of a silent flow may be sent again only because its new owner queries every earlier one before it runs
+        // it.
         if (result.flowSilent && result.ran == Ran::Unknown)
             return RetryReason::FlowSilent;
         return RetryReason::MayHaveRun;
@@ -54,11 +55,10 @@
         return reason == RetryReason::NotRun || reason == RetryReason::IdempotentLost || reason == RetryReason::FlowSilent;
     }
 
-    // Load: one upstream of several is full or slow.
-    // Harm: the time it asks its callers to wait is its own; a caller that keeps to it before going elsewhere misses its
-    // deadline while other upstreams stand idle.
-    // Limit: only the first retry, which the ranking takes elsewhere, goes early; if that is refused too, the load is
-    // everywhere, and the times asked for are kept.
+    // The retry delay in a refusal applies to the upstream that sent it, which may be the only one that is full or slow. A
+    // caller that waited for the whole delay before it tries another upstream would miss its deadline while other upstreams
+    // are idle. Only the first retry, for which the ranking selects another upstream, is sent earlier. If that is refused
+    // too, all upstreams are loaded, and the requested delays are kept.
     Millis waitBefore(const RetryOptions& options, const RetryFacts& facts, const AttemptResult& result, bool newFlow)
     {
         const bool mayHurry = newFlow && facts.tries == 1;
@@ -72,11 +72,10 @@
     budget.tokens = std::min(budget.tokens + options.ratio, options.burst);
 }
 
-// Load: an overload or an outage, in which most first tries fail.
-// Harm: with retries at will the load doubles just when it cannot be borne, and the upstreams cannot recover (a retry
-// storm); a retry past its deadline is work for nobody.
-// Limit: a tenth of the first tries, the most that a system run at 90 % can absorb; a burst of five covers one balancer's
-// death as a caller sees it. Four tries: the chance that the fifth succeeds where four did not is small.
+// In an overload or an outage most first tries fail, and unlimited retries would double the load so that the upstreams can't
+// recover (a retry storm). A retry past its deadline is useless work. Retries are limited to a tenth of the first tries, the
+// most that a system at 90 % utilisation can absorb. A burst of five covers the failure of one balancer as seen by a caller.
+// The limit is four tries, since a fifth is unlikely to succeed after four failures.
 RetryVerdict decideRetry(RetryBudget& budget, const RetryOptions& options, const RetryFacts& facts, const AttemptResult& result)
 {
     const RetryReason reason = reasonToRetry(facts, result);
--- a/src/libdecision/retry.h
+++ b/src/libdecision/retry.h
@@ -4,23 +4,23 @@
 
 namespace kingcuptrail {
 
-/// Why a request is tried again, or why it is not. Each is counted.
+/// Why a request is retried or not. Each reason is counted.
 enum class RetryReason : std::uint8_t {
-    /// Tried again: nothing of it reached an upstream.
+    /// Retried: nothing of it reached an upstream.
     NotRun,
-    /// Tried again: the outcome is lost, and running it twice does no harm.
+    /// Retried: the outcome is lost, but the request is idempotent.
     IdempotentLost,
-    /// Tried again on a new flow that names this one; the new owner asks before it runs.
+    /// Retried on a new flow that names this one; the new owner queries the old one before it runs the request.
     FlowSilent,
-    /// Not tried again: it may have run.
+    /// Not retried: it may have run.
     MayHaveRun,
-    /// Not tried again: the same answer would come.
+    /// Not retried: the answer would be the same.
     Final,
-    /// Not tried again: the deadline would pass first.
+    /// Not retried: the deadline would pass first.
     DeadlineTooNear,
-    /// Not tried again: tried often enough.
+    /// Not retried: the maximum number of attempts is reached.
     AttemptsSpent,
-    /// Not tried again: too many retries for the first tries of late.
+    /// Not retried: there were too many retries in relation to recent first tries.
     BudgetEmpty,
 };
 
@@ -39,33 +39,33 @@
 };
 
 struct RetryOptions {
-    /// Retries for each first try, in the long run.
+    /// Retries allowed for each first try in the long run.
     double ratio = 0.1;
-    /// Retries at once at most, after a quiet time.
+    /// The maximum number of retries in a burst.
     double burst = 5;
-    /// Tries of one request at most, the first included.
+    /// The maximum number of tries of one request, including the first.
     std::uint32_t maxTries = 4;
-    /// The longest wait before the first retry on a new flow, in milliseconds.
+    /// The maximum delay of the first retry on a new flow, in milliseconds.
     Millis firstRetryWait = 20;
-    /// Time a retry needs to be worth it, in milliseconds.
+    /// A retry must leave at least this much time before the deadline, in milliseconds.
     Millis leastTimeLeft = 20;
 };
 
-/// A token bucket that first tries fill and retries empty.
+/// A token bucket: first tries add tokens and retries take them.
 struct RetryBudget {
     double tokens = 1;
 };
 
-/// Counts a first try.
+/// Adds the tokens of a first try.
 void noteFirstTry(RetryBudget&, const RetryOptions&);
 
 /// How one try of a request ended without an answer.
 struct AttemptResult {
     Ran ran = Ran::Unknown;
     RefusalReason reason = RefusalReason::None;
-    /// What the refusal asks the caller to wait, in milliseconds.
+    /// The retry delay in the refusal, in milliseconds.
     Millis retryAfter = 0;
-    /// The flow was given up as silent; the request's outcome is unknown to the caller.
+    /// The flow was closed as silent, and the caller does not know the request's outcome.
     bool flowSilent = false;
 };
 
@@ -81,15 +81,15 @@
 struct RetryVerdict {
     bool retry = false;
     RetryReason reason = RetryReason::Final;
-    /// Wait this long first, in milliseconds.
+    /// The delay before the retry, in milliseconds.
     Millis delay = 0;
-    /// Use a new flow, which the ranking takes elsewhere.
+    /// Use a new flow, for which the ranking selects another upstream.
     bool newFlow = false;
-    /// The new request must name every earlier owner.
+    /// The new request must name all earlier owners.
     bool nameEarlier = false;
 };
 
-/// Decides on a try that ended without an answer; a retry is taken out of the budget.
+/// Decides whether to retry after a try that ended without an answer. A retry takes a token from the budget.
 RetryVerdict decideRetry(RetryBudget&, const RetryOptions&, const RetryFacts&, const AttemptResult&);
 
 }
--- a/src/libdecision/routing.cpp
+++ b/src/libdecision/routing.cpp
@@ -25,7 +25,7 @@
         return { RouteAction::AnyAgent, 0, RefusalReason::None };
     }
 
-    /// Upstream ids are hashes already; the multiplication only spreads ids that tests choose small.
+    /// Upstream ids are hashes already; the multiplication only spreads the small ids of tests.
     std::uint64_t firstSlot(const MemberIndex& index, UpstreamId upstream)
     {
         return (upstream * 0x9e3779b97f4a7c15ULL >> 32) & index.mask;
@@ -68,12 +68,12 @@
     return lookup;
 }
 
-// Failure: news of members reaches balancers unevenly, and this one has not heard of a flow's owner, or has lost its link
-// to it. It would show as a feed cut if the flow were reset on a stale view. So a token that is not known is
-// passed on through any agent, and dropped when its hops are spent: the endpoints send again, and give the flow up by its
-// silence when the owner is truly gone. A reset is safe in three cases: a newer incarnation of the same upstream is known
-// (incarnations are given out by the platform and only grow, so the owner is fenced), the owner's host says that nothing
-// listens at its address any more (a living agent never closes its listener), or operators have taken its data centre out.
+// Membership changes reach balancers at different times: this one may not know a flow's owner yet, or may have lost its link
+// to it, and a reset based on a stale view would cut a feed. A packet with an unknown token is therefore relayed through any
+// agent and dropped when its hops are used up; the endpoints retransmit, and close the flow by its timeout if the owner is
+// really gone. A reset is safe in three cases. A newer incarnation of the same upstream is known: incarnations are assigned
+// by the platform and only grow, so the owner is fenced. The owner's host reports that nothing listens at its address any
+// more: a running agent never closes its listener. Or operators have taken its data centre out.
 RouteResult routeByToken(const MemberIndex& index, std::span<const Member> members, const OwnerToken& token, std::uint8_t hops)
 {
     const MemberLookup lookup = findMember(index, token);
--- a/src/libdecision/servicetime.h
+++ b/src/libdecision/servicetime.h
@@ -11,7 +11,8 @@
     std::uint32_t samples = 0;
 };
 
-/// Takes one measured service time into the estimate: the plain mean at first, then with `leastWeight` for each.
+/// Adds one measured service time to the estimate. The first samples form a plain mean; later ones have a weight of
+/// `leastWeight`.
 void noteServiceTime(ServiceTime&, double serviceTime, double leastWeight);
 
 }
--- a/src/libdecision/workqueue.cpp
+++ b/src/libdecision/workqueue.cpp
@@ -16,9 +16,9 @@
         return 1 - indexOf(workClass);
     }
 
-    // Load: a class that was away comes back while the other kept the slots busy.
-    // Harm: the credit of its absence would let it take every slot, or its old debt would keep it out.
-    // Limit: one largest piece of work apart, which is what non-preemptive service can owe.
+    // A class that becomes active again while the other kept the slots busy could take every slot with the credit of its
+    // idle time, or be kept out by its old debt. Its virtual time is limited to one largest request before or after the
+    // other's, which is the most that non-preemptive service can owe.
     void boundLag(WorkQueue& queue, WorkClass workClass)
     {
         const double other = queue.virtualTime[otherIndex(workClass)];
@@ -56,11 +56,10 @@
     line.push_back(item);
 }
 
-// Load: uploads of seconds mixed with queries of milliseconds, more of both than the slots carry.
-// Harm: in order of arrival, queries wait behind uploads and miss their deadlines; with queries always first, an upload
-// waits until its deadline.
-// Limit: slot time is shared 3 to 1, queries first, since there are more of them and their deadlines are short; the
-// quarter that is left lets every upload that was queued within its expected wait start.
+// Served in order of arrival, queries of milliseconds would wait behind uploads of seconds and miss their deadlines; with
+// queries always first, an upload would wait until its deadline. Slot time is shared 3 to 1, queries first, since there are
+// more of them and their deadlines are short. The remaining quarter lets every upload start that was queued within its
+// expected wait.
 std::optional<WorkClass> classInTurn(const WorkQueue& queue, bool shortMayStart, bool longMayStart)
 {
     const bool shortWaits = shortMayStart && !lineOf(queue, WorkClass::Short).empty();
