--- a/tests/decision/testadmission.cpp
+++ b/tests/decision/testadmission.cpp
@@ -11,7 +11,7 @@
 constexpr double capacity = 250;
 constexpr std::array overloads { Overload::Slows, Overload::Sheds, Overload::FallsOver };
 
-/// A run that first warms its upstreams at 70 % load, and counts from then on.
+/// A run that first warms its upstreams at 70 % load; only later requests are counted.
 LoadRun warmRun(std::vector<UpstreamModel> upstreams = { {} })
 {
     LoadRun run { .upstreams = std::move(upstreams), .countFrom = warmAt };
@@ -20,7 +20,7 @@
     return run;
 }
 
-/// One upstream under a steady load, as a part of its warm capacity.
+/// One upstream under a steady load, given as a part of its warm capacity.
 LoadRun steadyRun(UpstreamModel upstream, double load, Millis until, Millis countFrom = 0)
 {
     LoadRun run { .upstreams = { std::move(upstream) }, .countFrom = countFrom };
@@ -70,8 +70,9 @@
     CPPUNIT_TEST(deadUpstreamIsNotHammered);
     CPPUNIT_TEST_SUITE_END();
 
-    // All crews ask at once, three times what an upstream can answer. With a queue without bound every answer comes after
-    // its caller gave up; with the guard each caller hears within 50 ms that it must come back, or is answered in time.
+    // Guards against answers that arrive after their caller gave up. The load is three times the capacity, and an unbounded
+    // queue would delay every answer past its deadline. With the guard each caller is refused within 50 ms or answered in
+    // time.
     void saturationKeepsGoodputAndRefusesAtOnce()
     {
         for (const std::uint32_t seed : { 1U, 2U, 3U }) {
@@ -92,8 +93,8 @@
         }
     }
 
-    // A hundred crews refresh in the same millisecond. What does not fit the queue is told to come back at times spread by
-    // its id, and all are answered within two seconds.
+    // Guards against callers of a burst that all retry at once. A hundred queries arrive in the same millisecond; those that
+    // exceed the queue get retry delays spread by their id, and all are answered within two seconds.
     void burstIsServedOverItsReturns()
     {
         LoadRun run = warmRun();
@@ -107,8 +108,9 @@
         CPPUNIT_ASSERT(result.largestReturn < 50);
     }
 
-    // Uploads arrive faster than the slots carry. Without the classes kept apart they hold every slot and queries miss
-    // their deadlines; with queries always first, uploads would wait for ever.
+    // Guards against one class of work starving the other. Uploads arrive faster than the slots can serve: without reserved
+    // slots they would hold every slot and queries would miss their deadlines; with queries always first, uploads would
+    // never start.
     void uploadsAndQueriesLeaveRoomForEachOther()
     {
         LoadRun run = warmRun();
@@ -133,8 +135,9 @@
         CPPUNIT_ASSERT(percentile(shared.outcomes.at(WorkClass::Long).servedAfter, 0.99) <= 7500);
     }
 
-    // One of three upstreams answers four times slower, or one gets most of the demand. It refuses what it cannot serve
-    // and works at capacity; the other two do not notice, and retries stay within a tenth of the first tries.
+    // Guards against one overloaded upstream that affects the others. One of three upstreams answers four times slower or
+    // gets most of the load. It refuses what it can't serve and works at capacity, and retries stay within a tenth of the
+    // first tries.
     void slowUpstreamAndSkewedDemandStayLocal()
     {
         LoadRun slow = warmRun({ {}, { .shortTime = 80 }, {} });
@@ -156,8 +159,8 @@
         }
     }
 
-    // A data centre comes back and its upstreams start cold under 80 % load. Given all slots at once they fall over again
-    // and again; with the warm-up none ever has more than it bears.
+    // Guards against upstreams that collapse after a data centre's return. They start cold under 80 % load and would
+    // collapse repeatedly if they got all slots at once; with the warm-up none gets more requests than it can serve.
     void coldUpstreamGetsNoMoreThanItBears()
     {
         for (const Overload overload : overloads) {
@@ -170,7 +173,7 @@
             assertRefusedTruly(outcomes);
             assertColdStartHarmsWithoutGuard(run);
 
-            // It takes four times as long as configured.
+            // The upstream takes four times as long to warm up as configured.
             const LoadRun slower = steadyRun({ .overload = overload, .warmTime = 40000, .coldAt = { 0 } }, 0.7, 100000, 60000);
             const LoadResult late = runLoad(slower);
             CPPUNIT_ASSERT(overload == Overload::Slows || late.upstreams[0].aboveAt.size() <= 2);
@@ -178,8 +181,8 @@
         }
     }
 
-    // An upstream at 70 % load turns cold without a word. Its first slow answers, sheds or broken connections give it
-    // away: nothing starts above what it bears later than 100 ms after the turn.
+    // Guards against the load of a warm upstream for one that turns cold under 70 % load. Its first slow answers, sheds or
+    // lost connections reveal it: later than 100 ms after that, no request starts beyond what it can serve.
     void upstreamThatTurnsColdIsFoundAtOnce()
     {
         constexpr Millis turn = 20000;
@@ -196,8 +199,7 @@
         }
     }
 
-    // Nobody asks for 45 s, the upstream is restarted meanwhile, and then a burst comes. It must not get the burst at the
-    // concurrency it once had.
+    // Guards against a burst at full concurrency for an upstream that was restarted during 45 s without requests.
     void upstreamThatTurnedColdWhileIdleIsProvedFirst()
     {
         for (const Overload overload : overloads) {
@@ -213,7 +215,8 @@
         }
     }
 
-    // A trial of a lower level was under way, and after the idle time only uploads come.
+    // Guards against a limit that stays at one. A trial of a lower level was running before the idle time, and only uploads
+    // arrive after it.
     void trialDoesNotOutliveAnIdleTime()
     {
         const AdmissionOptions options { .slots = 5, .warmUp = 1000 };
@@ -228,8 +231,8 @@
         CPPUNIT_ASSERT_EQUAL(5U, currentLimit(state));
     }
 
-    // A health endpoint says "fine, idle" for a cold upstream, or "ill, full" for ever for a good one. The first opens
-    // nothing; the second costs one more warm-up and no request after it.
+    // Guards against health reports that are wrong. "Healthy and idle" for a cold upstream must not admit more requests;
+    // "unhealthy and full" all the time for a working one may cost one further warm-up and no request after it.
     void lyingEndpointNeitherOpensNorClosesTheGate()
     {
         const auto run = [](UpstreamHint hint, std::vector<Millis> coldAt, Millis countFrom) {
@@ -244,8 +247,9 @@
         CPPUNIT_ASSERT_EQUAL(5U, currentLimit(gloomy.upstreams[0].state));
     }
 
-    // An upstream bears three or four of its five slots. Found by its sheds, or by the throughput it loses, the limit
-    // settles there instead of being tried and cut for ever, and stays at five for one that is evenly slow.
+    // Guards against a limit that is raised and cut again and again. An upstream can serve three or four of its five slots;
+    // its sheds or its lower throughput must settle the limit there. The limit stays at five if the upstream is equally slow
+    // at every level.
     void upstreamThatBearsLessThanItsSlotsFindsItsPeak()
     {
         const LoadResult shed = runLoad(steadyRun({ .bears = 4, .overload = Overload::Sheds }, 0.7, 145000, 45000));
@@ -259,12 +263,12 @@
         slows.options.coldStartGuard = false;
         CPPUNIT_ASSERT(runLoad(slows).upstreams[0].servedInTime < 0.7 * 150 * 40);
 
-        // The host is shared from 20 s on, by the time the limit is five and nothing else is known.
+        // From 20 s on the host is shared; the limit is five by then.
         const LoadResult moved = runLoad(steadyRun({ .laterAt = 20000, .laterBears = 3 }, 2, 60000, 30000));
         CPPUNIT_ASSERT_EQUAL(3U, currentLimit(moved.upstreams[0].state));
         CPPUNIT_ASSERT(moved.upstreams[0].servedInTime >= 0.9 * 116 * 30);
 
-        // A peak found by chance among 50 slots, or during a warm-up, is not kept for long.
+        // A peak found by chance among 50 slots, or during a warm-up, is not held for long.
         LoadRun wide = steadyRun({ .bears = 50 }, 20, 50000, 20000);
         wide.options = { .slots = 50, .queueLimit = 64 };
         CPPUNIT_ASSERT(runLoad(wide).upstreams[0].servedInTime >= 0.9 * 10 * capacity * 30);
@@ -275,7 +279,8 @@
         CPPUNIT_ASSERT_EQUAL(5U, currentLimit(even.upstreams[0].state));
     }
 
-    // The agent was restarted and knows nothing; work it no longer knows of still runs at the upstream.
+    // Guards against overload by requests that the agent does not know: it was restarted, and older requests still run at
+    // the upstream.
     void hintsOfOtherWorkAreHeededWhileCold()
     {
         const AdmissionOptions options { .slots = 4, .warmUp = 100 };
@@ -302,7 +307,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), takeRunnable(state, options, now).size());
     }
 
-    // Queued work that is withdrawn, drained away or too late has not run, and says so.
+    // Queued requests that are cancelled, drained or too late have not run and are refused as such.
     void queuedWorkIsTakenBackTruly()
     {
         const AdmissionOptions options { .slots = 1, .queueLimit = 4 };
@@ -325,8 +330,8 @@
         CPPUNIT_ASSERT(!nextWake(state, 503) && busy(state) == 1 && queued(state) == 0);
     }
 
-    // The upstream's process is gone and refuses every connection. Work waits out a pause that doubles to a second, in
-    // place of being spent on it one by one.
+    // Guards against a queue that is used up on an upstream that is down and refuses every connection. Starts pause for a
+    // time that doubles up to a second.
     void deadUpstreamIsNotHammered()
     {
         const AdmissionOptions options { .slots = 5 };
--- a/tests/decision/testguards.cpp
+++ b/tests/decision/testguards.cpp
@@ -22,8 +22,8 @@
     CPPUNIT_TEST(oldLoadNewsIsNotFollowed);
     CPPUNIT_TEST_SUITE_END();
 
-    // A caller is told "not run" and closes its flow. A balancer that stood still meanwhile sends the flow's open and
-    // request again; the agent must not open it and run the request.
+    // Guards against a request that runs after its caller was told that it had not. The caller closes the flow, and a
+    // balancer that was paused then delivers the flow's open and request again.
     void endedFlowIsNotOpenedAgain()
     {
         ClosedFlows closed;
@@ -41,7 +41,8 @@
         CPPUNIT_ASSERT(!closedReason(closed, 8) && closedReason(closed, 9));
     }
 
-    // A feed's flow is in order, and one packet with its flow id and another service's address arrives. The feed must go on.
+    // Guards against a feed that ends because of one misdirected packet, which has its flow id and another service's
+    // address.
     void strayPacketDoesNotEndAFlow()
     {
         const PacketFacts stray { .hasToken = true, .tokenIsMine = true, .holdsFlow = true, .serviceMatches = false };
@@ -49,7 +50,8 @@
         CPPUNIT_ASSERT(decidePacket(stray).reason == RefusalReason::WrongService);
     }
 
-    // An agent is stopped, its data centre taken out, and it goes on: packets wait on its links before the news.
+    // Guards against stale packets. An agent is paused while its data centre is taken out; when it resumes, older packets
+    // wait on its links before the message that says so.
     void packetsAreHeldAfterAPause()
     {
         PauseWatch watch;
@@ -62,8 +64,8 @@
         CPPUNIT_ASSERT(!holdsPackets(watch, 6300));
     }
 
-    // A balancer with thousands of links hears of load once in a minute and a half. All balancers would send their flows to
-    // the member that was emptiest then.
+    // Guards against placement by stale load. A balancer with thousands of links gets load reports only every 90 s, and all
+    // balancers would send their flows to the member that was emptiest then.
     void oldLoadNewsIsNotFollowed()
     {
         std::vector<Member> members { { .token = { 1, 1 }, .linked = true, .load = 100 }, { .token = { 2, 1 }, .linked = true, .load = 0 } };
@@ -75,7 +77,7 @@
         CPPUNIT_ASSERT(secondChoices > 0);
     }
 
-    // A data centre comes back, and one balancer still has the configuration in which it is out: it would reset new flows.
+    // Guards against resets of new flows by a balancer whose configuration still has a returned data centre taken out.
     void returnWaitsForTheLinkedBalancers()
     {
         CPPUNIT_ASSERT(!mayReturn(5, std::array<ConfigVersion, 2> { 5, 4 }));
@@ -83,20 +85,21 @@
         CPPUNIT_ASSERT(mayReturn(5, {}));
     }
 
-    // A leaving agent closes its last idle flow and exits; the packet that says so is lost with a balancer.
+    // Guards against a broken flow when a draining agent closes its last idle flow and the packet that reports this is lost.
     void leaverStaysUntilCallersWereTold()
     {
         const DrainOptions options { .announceGrace = 100, .closeGrace = 2000 };
         DrainProgress progress { .startedAt = 0, .announced = true, .announcedAt = 0, .lastClosedAt = 500 };
         CPPUNIT_ASSERT(nextDrainStep({}, progress, options, 2499) == DrainStep::Wait);
         CPPUNIT_ASSERT(nextDrainStep({}, progress, options, 2500) == DrainStep::Done);
-        // Until the news is out it goes on serving the flows it holds.
+        // Until the announcement has reached the balancers it serves the flows it holds.
         CPPUNIT_ASSERT(!refusesNewWork(progress, options, 99) && refusesNewWork(progress, options, 100));
         progress.lastClosedAt = 0;
         CPPUNIT_ASSERT(nextDrainStep({}, progress, options, 100) == DrainStep::Done);
     }
 
-    // An upstream refuses connections until 4 s and then bears one request. The warm-up must not have begun before.
+    // Guards against a warm-up that starts too early. An upstream refuses connections until 4 s and can then serve one
+    // request.
     void warmUpBeginsWithTheFirstRequestTaken()
     {
         const LimitOptions options { .slots = 5, .warmUp = 4000 };
--- a/tests/decision/testidleclose.cpp
+++ b/tests/decision/testidleclose.cpp
@@ -11,7 +11,7 @@
     CPPUNIT_TEST(restartBetweenIdleClosesShows);
     CPPUNIT_TEST_SUITE_END();
 
-    // Guards against the load of a warm upstream for one that was restarted while it had no work.
+    // Guards against the load of a warm upstream for one that was restarted while idle.
     void endWithoutAWordShowsARestart()
     {
         IdleCloseHistory history;
@@ -19,7 +19,7 @@
         CPPUNIT_ASSERT(!showsRestart(history, {}, 40000, true));
     }
 
-    // Guards against a warm-up of a working upstream each time that it closes an idle connection.
+    // Guards against a warm-up each time that a working upstream closes an idle connection.
     void serverThatClosesIdleConnectionsStaysWarm()
     {
         IdleCloseHistory history;
@@ -31,7 +31,7 @@
         CPPUNIT_ASSERT(!showsRestart(impatient, {}, 7, false));
     }
 
-    // Guards against a restart that passes for one more idle close.
+    // Guards against a restart that is mistaken for another idle close.
     void restartBetweenIdleClosesShows()
     {
         IdleCloseHistory history;
--- a/tests/decision/testpackets.cpp
+++ b/tests/decision/testpackets.cpp
@@ -11,7 +11,7 @@
 
 std::size_t allocations = 0;
 
-/// Calls `check` with every combination of facts that can be true together.
+/// Calls `check` for every consistent combination of facts.
 template <typename Check>
 void forEveryPacket(Check check)
 {
@@ -54,7 +54,7 @@
     return std::string(nameOf(result.action)) + " " + member;
 }
 
-/// Upstream 1 serves, 2 drains, 3 has lost its link, 4 is out, 5 has been replaced, 6 lapsed, 7 replaced and linked.
+/// Upstream 1 is serving, 2 draining, 3 not linked, 4 out, 5 replaced, 6 lapsed, 7 replaced and still linked.
 std::vector<Member> makeMembers()
 {
     return {
@@ -72,7 +72,7 @@
 
 }
 
-// Counts what the routing decisions allocate: none may.
+// Counts allocations, since routing decisions must not allocate.
 void* operator new(std::size_t size)
 {
     ++allocations;
@@ -102,7 +102,8 @@
     CPPUNIT_TEST(routingAllocatesNothing);
     CPPUNIT_TEST_SUITE_END();
 
-    // An address has moved to another service and one balancer has not heard of it. A Filing arrives among telemetry.
+    // Guards against uploads that reach another service after an address has moved and one balancer has an old
+    // configuration.
     void agentServesOnlyItsOwnService()
     {
         std::size_t misdelivered = 0;
@@ -116,8 +117,8 @@
         CPPUNIT_ASSERT(misdelivered > 0);
     }
 
-    // A packet of a living flow reaches an agent that does not hold it. Were it reset there, a feed would be cut mid-shift
-    // because one view was behind.
+    // Guards against a reset of an open flow by an agent that does not hold it, which would cut a feed because of one stale
+    // view.
     void agentNeverBreaksAFlowItCannotJudge()
     {
         forEveryPacket([](const PacketFacts& facts, const PacketVerdict& verdict) {
@@ -141,7 +142,7 @@
             if (isNew && facts.draining && verdict.action == PacketAction::ReplyReset)
                 CPPUNIT_ASSERT(facts.hops >= maxHops || !facts.serviceMatches);
             CPPUNIT_ASSERT(!passesOn(verdict) || facts.hops < maxHops);
-            // A stray packet for another service must not end the flow held under its number.
+            // A misdirected packet for another service must not end the flow held under its id.
             const bool isStray = facts.holdsFlow && verdict.reason == RefusalReason::WrongService;
             CPPUNIT_ASSERT(verdict.action != PacketAction::Drop || facts.hops >= maxHops || isStray);
             const bool hasReason = verdict.reason != RefusalReason::None;
@@ -178,8 +179,8 @@
         CPPUNIT_ASSERT(routeByToken({}, {}, { 1, 1 }, 0).action == RouteAction::AnyAgent);
     }
 
-    // News reaches balancers unevenly: each knows some of the members, some of them from before a restart. Whatever a
-    // balancer has missed, it resets no flow whose owner is the newest of its upstream and not taken out.
+    // Guards against resets by stale views. Each balancer knows some of the members, some of them from before a restart. It
+    // must not reset a flow whose owner is the newest of its upstream and not taken out.
     void balancerWithAStaleViewBreaksNoFlow()
     {
         for (unsigned known = 0; known < 1U << 8; ++known) {
--- a/tests/decision/testproperties.cpp
+++ b/tests/decision/testproperties.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// One step of a history: what happens, to whom, and how much time has passed.
+/// One step of a history: the kind of event, its subjects and the time passed.
 struct Step {
     unsigned kind = 0;
     unsigned subject = 0;
@@ -28,7 +28,7 @@
     stream << "{" << step.kind << ", " << step.subject << ", " << step.other << ", " << step.passed << "}";
 }
 
-/// Whether the property holds for every generated history; a counterexample is shrunk and printed.
+/// Whether the property holds for every generated history. A counterexample is shrunk and printed.
 template <typename Property>
 bool holds(const char* name, unsigned kinds, unsigned subjects, Property property)
 {
@@ -39,7 +39,7 @@
     });
 }
 
-/// One key, sent to three owners: every packet may come late, twice, or after its successor.
+/// One key that is sent to three owners. Each packet may be late, duplicated or reordered.
 struct KeyWorld {
     struct Attempt {
         std::size_t owner = 0;
@@ -60,7 +60,7 @@
 
     static OwnerToken tokenOf(std::size_t owner) { return { owner + 1, 1 }; }
 
-    /// The caller gives the last flow up and sends the key to another owner, naming all earlier ones.
+    /// The caller closes the last flow and sends the key to another owner, naming all earlier ones.
     void sendOnNewFlow(std::size_t owner)
     {
         sent.push_back(named);
@@ -68,7 +68,7 @@
         named.push_back(tokenOf(owner));
     }
 
-    /// A packet that was sent arrives, perhaps for the second time.
+    /// A packet that was sent arrives, possibly as a duplicate.
     void arrive(std::size_t which)
     {
         if (sent.empty())
@@ -78,7 +78,7 @@
         proceed(attempts.back());
     }
 
-    /// Asks first and enters its own ledger then, as the agent does.
+    /// Checks the earlier owners' answers first and then its own ledger, as the agent does.
     void proceed(Attempt& attempt)
     {
         const AttemptsDecision decision = decideAttempts(attempt.earlier, { .guard = options.guard }).decision;
@@ -89,7 +89,7 @@
         runs += mayRun ? 1 : 0;
     }
 
-    /// One earlier owner answers one attempt that asks, or cannot be reached.
+    /// One earlier owner answers an attempt that waits, or can't be reached.
     void answer(std::size_t which, std::size_t owner, bool reachable)
     {
         if (attempts.empty())
@@ -104,7 +104,7 @@
         proceed(attempt);
     }
 
-    /// A running attempt ends; one that the upstream shed has not run.
+    /// A running attempt ends. One that the upstream shed has not run.
     void finish(std::size_t which, unsigned outcome)
     {
         if (attempts.empty())
@@ -146,8 +146,9 @@
     CPPUNIT_TEST(indexFindsWhatASearchFinds);
     CPPUNIT_TEST_SUITE_END();
 
-    // A Filing is sent on up to several flows, each naming the owners before it; packets come late, twice and out of order,
-    // answers are lost, owners shed. It must not run twice, and does so without the guard.
+    // Guards against a key that runs twice. A non-idempotent request is sent on several flows, each naming the earlier
+    // owners; packets are late, duplicated and reordered, answers are lost and owners shed. Without the guard the key does
+    // run twice.
     void keyRunsAtMostOnceWhateverArrives()
     {
         CPPUNIT_ASSERT(holds("a key runs at most once", 4, 12, [](const History& history) {
@@ -165,7 +166,7 @@
 
     void redirectsFollowTheirModel()
     {
-        CPPUNIT_ASSERT(holds("redirects follow their model", 5, 12, [](const History& history) {
+        CPPUNIT_ASSERT(holds("redirects match the model", 5, 12, [](const History& history) {
             const RedirectOptions options { .maxEntries = 6, .keepFor = 2000 };
             Redirects redirects;
             struct Noted {
@@ -214,8 +215,9 @@
         }));
     }
 
-    // News of versions reaches six daemons in any order, late and twice; they also tell each other. None ever goes back,
-    // and after one round of heartbeats around the ring in both directions all hold the newest.
+    // Guards against a configuration that reverts. Versions reach six daemons in any order, late and duplicated, and daemons
+    // exchange them. No daemon goes back to an older one, and after one round of heartbeats around the ring in both
+    // directions all have the newest.
     void configurationNeverRevertsAndSpreads()
     {
         CPPUNIT_ASSERT(holds("configuration never reverts", 2, 6, [](const History& history) {
@@ -250,11 +252,11 @@
         CPPUNIT_ASSERT(supersedes(7, 6, { .guard = false }));
     }
 
-    // Whatever ends how, the limit is between one and the slots, one after a shed or a failure, and never ahead of the
-    // straight line of its warm-up.
+    // For any sequence of outcomes the limit is between one and the slots, is one after a shed or a failure, and never
+    // exceeds the straight line of its warm-up.
     void limitStaysInItsBounds()
     {
-        CPPUNIT_ASSERT(holds("the limit stays in its bounds", 12, 9, [](const History& history) {
+        CPPUNIT_ASSERT(holds("the limit stays within its bounds", 12, 9, [](const History& history) {
             const LimitOptions options { .slots = 8, .warmUp = 3000 };
             ConcurrencyLimit limit;
             Millis firstAnswer = -1;
@@ -286,11 +288,11 @@
         }));
     }
 
-    // Requests arrive, start, end, are withdrawn and expire in any order. Each gets exactly one end, none starts after its
-    // deadline, and neither the slots nor the queue are ever exceeded.
+    // Requests arrive, start, end, are cancelled and expire in any order. Each ends exactly once, none starts after its
+    // deadline, and neither the slots nor the queue limit are exceeded.
     void admissionLosesNothing()
     {
-        CPPUNIT_ASSERT(holds("admission loses nothing", 8, 8, [](const History& history) {
+        CPPUNIT_ASSERT(holds("every request ends exactly once", 8, 8, [](const History& history) {
             const AdmissionOptions options { .slots = 4, .queueLimit = 6, .warmUp = 1000 };
             AdmissionState state;
             std::map<std::uint64_t, WorkItem> waiting;
@@ -333,7 +335,7 @@
 
     void indexFindsWhatASearchFinds()
     {
-        CPPUNIT_ASSERT(holds("the index finds what a search finds", 1, 10, [](const History& history) {
+        CPPUNIT_ASSERT(holds("the index matches a linear search", 1, 10, [](const History& history) {
             std::set<std::pair<UpstreamId, Incarnation>> tokens;
             for (const Step& step : history)
                 tokens.insert({ step.subject + 1, step.other + 1 });
--- a/tests/decision/testreachability.cpp
+++ b/tests/decision/testreachability.cpp
@@ -20,8 +20,8 @@
         CPPUNIT_ASSERT(state.isReachable);
     }
 
-    // An upstream's process is killed. Its agent refuses at once, looks idle, and draws the flows of all others.
-    // It has to say so after two refused connections, and to take work again with the first accepted one.
+    // Guards against an agent that attracts flows while its upstream is down, since it refuses at once and looks idle. It
+    // has to report the upstream as unreachable after two refused connections, and as reachable with the first accepted one.
     void downUpstreamLeavesAndComesBackOnce()
     {
         for (const bool guard : { true, false }) {
--- a/tests/decision/testwork.cpp
+++ b/tests/decision/testwork.cpp
@@ -24,7 +24,7 @@
 
     const LedgerOptions m_options { .maxEntries = 4, .keepFor = 1000 };
 
-    // The same Filing arrives twice over two balancers, and once more after each outcome.
+    // The same non-idempotent request arrives twice over two balancers, and once more after each outcome.
     void keyRunsOnce()
     {
         const struct {
@@ -53,8 +53,8 @@
         CPPUNIT_ASSERT(beginWork(ledger, m_options, "filing", 5) == BeginVerdict::AlreadyRan);
     }
 
-    // A Filing's flow goes silent, its caller sends it on a new flow, and the new owner asks the old one. Then the first
-    // packet arrives late.
+    // Guards against a request that runs twice. Its flow becomes silent, its caller sends it on a new flow, and the new
+    // owner queries the old one; then the first packet arrives late.
     void askedKeyNeverRunsLater()
     {
         Ledger ledger;
@@ -73,7 +73,7 @@
         CPPUNIT_ASSERT(beginWork(ledger, m_options, "queued", 3) == BeginVerdict::Fenced);
     }
 
-    // More keys come than the ledger holds. Forgetting one would let it run twice.
+    // Guards against a key that runs twice because the ledger is full and has removed it.
     void fullLedgerRefusesRatherThanForgets()
     {
         Ledger ledger;
@@ -170,7 +170,7 @@
         }
     }
 
-    // Every first try fails for a while. Retries stay at a tenth of them, and the budget's burst.
+    // Guards against a retry storm. While every first try fails, retries stay at a tenth of them plus the budget's burst.
     void outageCannotBecomeARetryStorm()
     {
         RetryBudget budget;
@@ -184,8 +184,8 @@
         CPPUNIT_ASSERT(decideRetry(budget, {}, facts, { Ran::No, RefusalReason::QueueFull }).reason == RetryReason::BudgetEmpty);
     }
 
-    // The platform is down for an hour, or the observer itself is stopped: no lease lapses for that. A holder that stops
-    // renewing while the platform answers does, and a newer incarnation fences it.
+    // Guards against leases that lapse because the platform is down for an hour or the observer is paused. A lease lapses if
+    // its holder does not renew while the platform answers, and a newer incarnation fences the holder.
     void leaseCountsOnlyWatchedTime()
     {
         LeaseView view = watchLease(10000, 5, 0);
@@ -219,8 +219,8 @@
         }
     }
 
-    // An upstream leaves while a feed is open and a query is on its way. Neither is cut; idle flows are closed once the
-    // balancers know.
+    // Guards against a drain that cuts a feed or a query in transit. Idle flows are closed once the balancers know of the
+    // drain.
     void leavingCutsNoRequest()
     {
         const DrainOptions options { .announceGrace = 3000, .idleBeforeClose = 1000, .limit = 60000 };
