--- a/src/libdecision/concurrencylimit.cpp
+++ b/src/libdecision/concurrencylimit.cpp
@@ -28,7 +28,7 @@
     constexpr std::uint32_t longestStretch = 4;
     /// A limit at which the upstream shed twice is avoided for this many warm-ups.
     constexpr Millis ceilingWarmUps = 10;
-    /// Tolerance for rounding errors, so that a sum such as 0.7 + 0.3 counts as a whole slot.
+    /// Tolerance for floating-point errors, so that a sum such as 0.7 + 0.3 counts as a whole slot.
     constexpr double rounding = 1e-6;
 
     bool hasBaseline(const ConcurrencyLimit& limit)
@@ -126,7 +126,7 @@
 
     // Holds the limit at a peak that was found. The peak may have been found during a warm-up or while the host was shared,
     // and holding it for long would leave capacity unused. It is held for one warm-up first, and twice as long each time the
-    // same peak is found again, up to ten warm-ups. Above a known peak each level is measured before the next one is tried,
+    // same peak is found again, up to ten warm-ups. Above a known peak the search must finish a level before the next is tried,
     // since growth would otherwise pass all levels before they can be compared.
     void keepPeak(ConcurrencyLimit& limit, const LimitOptions& options, std::uint32_t level, Millis now)
     {
--- a/src/libdecision/configorder.cpp
+++ b/src/libdecision/configorder.cpp
@@ -4,8 +4,8 @@
 
 namespace kingcuptrail {
 
-// A slow watch or a peer that was partitioned may deliver an older configuration after a newer one, which could bring a data
-// centre back into use by itself. The platform's conditional write only assigns growing versions, so comparing versions is
+// A slow watch or a peer that was partitioned may deliver an older configuration after a newer one, which could return a data
+// centre to service by itself. The platform's conditional write only assigns growing versions, so comparing versions is
 // enough for any order of delivery.
 bool supersedes(ConfigVersion held, ConfigVersion offered, const ConfigOrderOptions& options)
 {
--- a/src/libdecision/configorder.h
+++ b/src/libdecision/configorder.h
@@ -8,16 +8,16 @@
 namespace kingcuptrail {
 
 struct ConfigOrderOptions {
-    /// Test only: when off, the configuration offered last is always applied.
+    /// Test only: when off, the latest configuration received is always applied.
     bool guard = true;
-    /// Test only: when off, a data centre that was brought back accepts new flows at once.
+    /// Test only: when off, a returned data centre accepts new flows at once.
     bool returnGuard = true;
 };
 
-/// Whether an offered configuration replaces the current one. Version 0 means no configuration.
+/// Whether a received configuration replaces the current one. Version 0 means no configuration.
 bool supersedes(ConfigVersion held, ConfigVersion offered, const ConfigOrderOptions& options = {});
 
-/// Whether an agent whose data centre was brought back by configuration `back` may accept new flows, given the versions that
+/// Whether an agent whose data centre was returned to service by configuration `back` may accept new flows, given the versions that
 /// its linked balancers have reported.
 bool mayReturn(ConfigVersion back, std::span<const ConfigVersion> balancers, const ConfigOrderOptions& options = {});
 
--- a/src/libdecision/pacing.h
+++ b/src/libdecision/pacing.h
@@ -12,7 +12,7 @@
     /// The share of heartbeats in a process's control traffic. Of 11 KB/s, the rest is left for configuration and
     /// membership.
     std::uint32_t budgetBytesPerSecond = 6000;
-    /// The number of missed heartbeats after which a link is closed.
+    /// The number of lost heartbeats after which a link is closed.
     std::uint32_t missed = 3;
 };
 
--- a/src/libdecision/peaksearch.cpp
+++ b/src/libdecision/peaksearch.cpp
@@ -10,7 +10,7 @@
     /// 4 %, and few of the requests started at the level before.
     constexpr std::uint32_t samplesPerLevel = 40;
     constexpr double sampleWeight = 0.025;
-    /// A throughput below this part of the lower level's starts a trial; the lower level wins the trial only by this factor.
+    /// A throughput of less than this part of the lower level's starts a trial; the lower level wins the trial only by this factor.
     constexpr double suspiciousRatio = 0.9;
     constexpr double winningRatio = 1.05;
 
--- a/src/libdecision/peaksearch.h
+++ b/src/libdecision/peaksearch.h
@@ -9,7 +9,7 @@
     /// The concurrency that is being measured, and its service time.
     std::uint32_t level = 0;
     ServiceTime atLevel;
-    /// The throughput one level below, in requests per millisecond, if the limit rose from there; 0 if unknown.
+    /// The throughput of the next lower level, in requests per millisecond, if the limit rose from there; 0 if unknown.
     double below = 0;
     /// Whether a lower level is being compared with `reference`, the throughput of the level above it.
     bool onTrial = false;
--- a/tests/decision/testproperties.cpp
+++ b/tests/decision/testproperties.cpp
@@ -28,7 +28,7 @@
     stream << "{" << step.kind << ", " << step.subject << ", " << step.other << ", " << step.passed << "}";
 }
 
-/// Whether the property holds for every generated history. A counterexample is shrunk and printed.
+/// Whether the property is true for every generated history. A counterexample is shrunk and printed.
 template <typename Property>
 bool holds(const char* name, unsigned kinds, unsigned subjects, Property property)
 {
