--- a/src/libdecision/admission.h
+++ b/src/libdecision/admission.h
@@ -96,8 +96,8 @@
 /// Refuses all queued requests as not run, because the agent drains, its data centre is taken out or its upstream is lost.
 std::vector<ExpiredItem> refuseQueue(AdmissionState&, RefusalReason, Millis now);
 
-/// The next time, always after `now`, at which takeRunnable() or takeExpired() may return something although no request has
-/// ended; nothing while the queue is empty. Call it after both of them.
+/// The next time, always after `now`, at which takeRunnable() or takeExpired() may return something
+/// although no request has ended; nothing while the queue is empty. Call it after both of them.
 std::optional<Millis> nextWake(const AdmissionState&, Millis now);
 
 /// Applies a report of the upstream's endpoints. A hint can only reduce the number of requests, only during a warm-up, and
--- a/src/libdecision/configorder.h
+++ b/src/libdecision/configorder.h
@@ -17,8 +17,8 @@
 /// Whether a received configuration replaces the current one. Version 0 means no configuration.
 bool supersedes(ConfigVersion held, ConfigVersion offered, const ConfigOrderOptions& options = {});
 
-/// Whether an agent whose data centre was returned to service by configuration `back` may accept new flows, given the versions that
-/// its linked balancers have reported.
+/// Whether an agent whose data centre was returned to service by configuration `back` may accept new
+/// flows, given the versions that its linked balancers have reported.
 bool mayReturn(ConfigVersion back, std::span<const ConfigVersion> balancers, const ConfigOrderOptions& options = {});
 
 /// What to do with a peer whose heartbeat carries a configuration version.
--- a/src/libdecision/idleclose.h
+++ b/src/libdecision/idleclose.h
@@ -17,8 +17,8 @@
     Millis usualLife = 0;
 };
 
-/// Whether the close of an idle connection of age `life` indicates a restart of the server. `toldWhy` is set if the server
-/// sent something before it closed the connection.
+/// Whether the close of an idle connection of age `life` indicates a restart of the server. `toldWhy`
+/// is set if the server sent something before it closed the connection.
 /// A restart of an idle upstream takes milliseconds and shows neither in a request nor in a refused connection, and the cold
 /// process would get the load of a warm one. Servers that close idle connections do so after a similar time, which is
 /// learned from the first such close.
