--- a/src/kingcuptraild/adminendpoint.cpp
+++ b/src/kingcuptraild/adminendpoint.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-    /// Administration is a few readers; the bounds keep a stuck or hostile one from taking the daemon's descriptors.
+    /// The endpoint has few clients; the limits keep a stuck or hostile one from using up the daemon's file descriptors.
     constexpr HttpServerOptions adminLimits { .maxBodyBytes = 4096, .requestTimeout = 3000, .maxConnections = 64 };
 
     HttpResponse reply(int status, std::string_view contentType, std::string body)
--- a/src/kingcuptraild/adminendpoint.h
+++ b/src/kingcuptraild/adminendpoint.h
@@ -19,7 +19,7 @@
 
     AdminEndpoint(asio::io_context& context, const asio::ip::tcp::endpoint& endpoint, Sources sources, const FailureHandler& onFailure);
 
-    /// Where it answers; nothing when binding failed.
+    /// The bound endpoint; nothing when binding failed.
     std::optional<asio::ip::tcp::endpoint> localEndpoint() const;
 
 private:
--- a/src/kingcuptraild/configdelta.h
+++ b/src/kingcuptraild/configdelta.h
@@ -8,25 +8,27 @@
 
 namespace kingcuptrail {
 
-/// What a peer that holds `base`, or any version between, lacks to reach `version`. Holds all data centres, since they
-/// are few and matter most, and the services that changed since `base`. A base of 0 means everything.
+/// The changes that bring a peer from version `base`, or a later one, to `changed.version`. Contains all data centres,
+/// since they are few and matter most, and the services that changed after `base`. A base of 0 marks a full configuration.
 struct ConfigDelta {
     ConfigVersion base = 0;
     Config changed;
     std::vector<std::string> removed;
 };
 
-/// Remembers in which version each service last changed, so that a change costs every link what changed and not the
-/// whole configuration: at thousands of services and changes a day, whole documents would be most of the control traffic.
+/// Remembers the version in which each service last changed, so that links carry only the changed services. With thousands
+/// of services and changes a day, full configurations would make up most of the control traffic.
 class ConfigHistory {
 public:
+    /// Records the differences between `previous` and `current`.
     void note(const Config& current, const Config& previous);
 
-    /// What a peer at `have` lacks of `current`; everything when `have` is older than what is remembered.
+    /// The delta from version `have` to `current`; a full configuration when `have` is older than the history.
     ConfigDelta since(ConfigVersion have, const Config& current) const;
 
 private:
-    /// Names of removed services that are remembered; a peer that is behind by more gets everything.
+    /// Limit for the remembered names of removed services. Beyond it the history is cleared, and a peer with an older
+    /// version gets a full configuration.
     static constexpr std::size_t maxRemoved = 4096;
 
     ConfigVersion m_knownSince = 0;
@@ -34,10 +36,10 @@
     std::map<std::string, ConfigVersion, std::less<>> m_removedIn;
 };
 
-/// The configuration that a delta makes of the held one; nothing when the held one is older than its base.
+/// Applies a delta to the held configuration; nothing when the held one is older than the base of the delta.
 std::optional<Config> mergeDelta(const Config& held, const ConfigDelta& delta);
 
-/// Cuts a delta into parts of which each fits into a frame with room to spare.
+/// Splits a delta into parts of at most `servicesPerPart` services. The first part carries the removed names.
 std::vector<ConfigDelta> splitDelta(const ConfigDelta& delta, std::size_t servicesPerPart);
 
 }
--- a/src/kingcuptraild/configkeeper.cpp
+++ b/src/kingcuptraild/configkeeper.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-    /// A service takes at most some 500 bytes of JSON, so that a part stays below half of the frame limit.
+    /// A service needs up to about 500 bytes of JSON, so a part stays below half of the frame limit.
     constexpr std::size_t servicesPerPart = 200;
 
-    /// More parts than a configuration of the platform's largest object could need are a fault.
+    /// Limit for the parts of a snapshot, above the number that a configuration of the platform's largest object needs.
     constexpr std::uint32_t maxParts = 1024;
 
-    /// How long a peer that was asked may take before another is asked, in milliseconds.
+    /// Wait for the answer to a fetch before another peer may be asked, in milliseconds.
     constexpr Millis fetchPause = 500;
 
 }
--- a/src/kingcuptraild/configkeeper.h
+++ b/src/kingcuptraild/configkeeper.h
@@ -9,25 +9,26 @@
 
 namespace kingcuptrail {
 
-/// Holds the configuration in force in this process. News of it comes from the platform and from any peer, in any order.
+/// Holds the configuration in force in this process. New versions arrive from the platform and from peers, in any order.
 class ConfigKeeper {
 public:
     using Listener = std::function<void(const Config& current, const Config& previous)>;
 
     void addListener(Listener listener);
 
-    /// Puts a configuration in force if it is newer than the one held. Watches, peers and retries deliver versions out of
-    /// order; taking an older one would show as a data centre that comes back by itself.
+    /// Puts a configuration in force if it is newer than the one held; false otherwise. Watches, peers and retries deliver
+    /// versions out of order, and an older one could return a data centre to service that was taken out.
     bool offer(Config config);
 
-    /// The frames that bring a peer from `have` to the version in force; none when it is not behind.
+    /// Encodes the frames that bring a peer from version `have` to the version in force; none when the peer is not behind.
     std::vector<Bytes> snapshotFor(ConfigVersion have) const;
 
-    /// Takes one frame of a peer's snapshot; the configuration changes when all its parts are there.
+    /// Adds one part of a peer's snapshot. The configuration is put in force when the last missing part arrives.
     void takeSnapshot(const wire::ConfigSnapshot& snapshot);
 
-    /// Whether a peer that is ahead should be asked now: many peers name a new version at the same time, and one
-    /// answer is enough. Asking again after a pause guards against a peer that dies before it answers.
+    /// Whether to fetch the configuration from a peer that is ahead; true at most once in a fixed interval. Many peers
+    /// announce a new version at the same time, and one answer is enough. The fetch is repeated after the interval in case
+    /// the peer fails before it answers.
     bool mayFetch(Millis now);
 
     const Config& current() const { return m_current; }
@@ -35,7 +36,8 @@
     std::uint64_t olderIgnored() const { return m_olderIgnored; }
 
 private:
-    /// Parts of one snapshot that have come from one peer or several; all of a version are alike.
+    /// Parts of one snapshot that were received so far, from one or more peers. Peers send identical parts for the same
+    /// version and base.
     struct Assembly {
         ConfigDelta delta;
         std::vector<bool> hasPart;
--- a/src/kingcuptraild/daemon.cpp
+++ b/src/kingcuptraild/daemon.cpp
@@ -41,15 +41,16 @@
         return role == DaemonRole::PacketBalancer || role == DaemonRole::PacketAgent;
     }
 
-    /// How long a call of the store may show no sign of the store's host, in milliseconds: less than the time in which a
-    /// change has to be known everywhere, and several keep-alive probes.
+    /// How long the store's host may stay silent during a call before the call fails, in milliseconds: shorter than the time
+    /// within which a change must be known everywhere, and long enough for several keep-alive probes.
     constexpr Millis storePathSilence = 2000;
-    /// A packet deployment waits long at the store for changes, in milliseconds: each wait is a call that is paid for.
+    /// Duration of a long poll for changes in the store of a packet deployment, in milliseconds. Long, since each call is
+    /// billed.
     constexpr Millis packetWatchWait = 30000;
-    /// A store call that takes longer is given up, in milliseconds.
+    /// Timeout of a store call in a packet deployment, in milliseconds.
     constexpr Millis packetCallTimeout = 2000;
 
-    /// How often the settings file is looked at, in milliseconds.
+    /// Interval at which the settings file is checked for changes, in milliseconds.
     constexpr Millis settingsInterval = 2000;
 
     std::optional<std::string> readFile(const std::string& path)
@@ -103,7 +104,8 @@
 {
 }
 
-// The children's handlers use the role; a link to an agent, for one, tells the balancer's member table that it ended.
+// Children call the role back when they end; a link to an agent, for example, updates the balancer's member table. All
+// children are therefore ended while the role still exists.
 Daemon::~Daemon()
 {
     m_root.endAll();
@@ -118,7 +120,7 @@
         return static_cast<int>(ExitCode::GaveUp);
     }
     m_root.add({ .name = "admin", .make = [this](const FailureHandler& onFailure) { return makeAdminEndpoint(onFailure); } });
-    // The processes of a packet deployment know each other without an object of their own in the store.
+    // Processes of a packet deployment find each other without a registration object in the store.
     if (!isPacketRole(m_settings.role))
         m_root.add({ .name = "registration", .make = [this](const FailureHandler&) { return std::make_unique<Registration>(m_roleContext); } });
     waitForSignal();
@@ -132,7 +134,7 @@
 {
     AdminEndpoint::Sources sources { .status = [this] { return status(); }, .metrics = [this] { return metrics(); } };
     auto endpoint = std::make_unique<AdminEndpoint>(m_context, m_settings.admin, std::move(sources), onFailure);
-    // With port 0 the host chooses: the registration must name that port, and a restarted endpoint come back at it.
+    // With port 0 the host chooses the port. The registration names that port, and a restarted endpoint must bind it again.
     m_settings.admin = endpoint->localEndpoint().value_or(m_settings.admin);
     return endpoint;
 }
@@ -161,7 +163,7 @@
     m_role->shutDown([this] { stop(static_cast<int>(ExitCode::Success)); });
 }
 
-// The file may change without a signal.
+// Polls the settings file, since it may change without a SIGHUP.
 void Daemon::watchSettings()
 {
     m_settingsTimer.start(settingsInterval, [this] {
@@ -170,7 +172,7 @@
     });
 }
 
-// A file that cannot be read or has a fault changes nothing: what is in force stands, as when it was never written.
+// A file that cannot be read or has faults is ignored: the settings in force stay.
 void Daemon::reloadSettings()
 {
     const auto text = readFile(m_settingsPath);
--- a/src/kingcuptraild/daemon.h
+++ b/src/kingcuptraild/daemon.h
@@ -13,17 +13,17 @@
 
 class AdminEndpoint;
 
-/// One daemon process: the root of the supervisor tree, its role, its administration endpoint and its signals.
+/// One daemon process: owns the root supervisor, the role, the administration endpoint and the signal handling.
 class Daemon {
 public:
-    /// `settingsPath` is where the settings came from, and where they are read again.
+    /// `settingsPath` is the file that the settings were read from; it is read again when it changes.
     Daemon(Settings settings, std::string settingsPath);
     ~Daemon();
     Daemon(const Daemon&) = delete;
     Daemon& operator=(const Daemon&) = delete;
 
-    /// Runs until SIGTERM or SIGINT has been followed by a graceful shutdown, a second signal, or the root gives up.
-    /// Yields the process's exit code.
+    /// Runs until a graceful shutdown after SIGTERM or SIGINT is done, a second signal arrives, or the root supervisor gives
+    /// up. Returns the exit code of the process.
     int run();
 
 private:
@@ -45,7 +45,7 @@
     Clock m_clock;
     PlatformOptions m_platform;
     ConfigKeeper m_config;
-    /// Outlives the tree: a link that is destroyed with it tells the role that it is gone.
+    /// Outlives the supervisor tree, since links call the role back when they are destroyed with the tree.
     std::unique_ptr<Role> m_role;
     Supervisor m_root;
     RoleContext m_roleContext;
--- a/src/kingcuptraild/hello.h
+++ b/src/kingcuptraild/hello.h
@@ -5,7 +5,7 @@
 
 namespace kingcuptrail {
 
-/// The hello a daemon sends to its peers.
+/// Builds the hello that a daemon sends to its peers.
 wire::HelloT makeHello(const Settings& settings, wire::Role role);
 
 }
--- a/src/kingcuptraild/listener.cpp
+++ b/src/kingcuptraild/listener.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-    /// Wait after a failed accept, which mostly means that the process is out of file descriptors: without it the
-    /// loop would spin.
+    /// Wait after a failed accept. Most often the process is out of file descriptors, and without the wait the accept loop
+    /// would spin.
     constexpr auto acceptRetryDelay = std::chrono::milliseconds(100);
 
 }
 
-// Outlives the listener while a handler is pending, so the loop lives here.
+// State of the accept loop, kept apart from the listener because pending handlers outlive it.
 struct Listener::Private : std::enable_shared_from_this<Private> {
     explicit Private(asio::io_context& context)
         : acceptor(context)
--- a/src/kingcuptraild/listener.h
+++ b/src/kingcuptraild/listener.h
@@ -10,7 +10,7 @@
 
 namespace kingcuptrail {
 
-/// Accepts links at an address. Fails when the address cannot be bound, so that its supervisor tries again.
+/// Accepts links at an address. Fails when the address cannot be bound, so that its supervisor restarts it.
 class Listener : public Supervised {
 public:
     using OnLink = std::function<void(std::shared_ptr<Link>)>;
@@ -21,7 +21,7 @@
     /// The port that is listened on; 0 when the address could not be bound.
     std::uint16_t localPort() const;
 
-    /// The port that is bound, which the host chose where the settings say 0; nothing when binding failed.
+    /// The bound port, chosen by the host when the settings say 0; nothing when binding failed.
     std::optional<std::uint16_t> port() const;
 
 private:
--- a/src/kingcuptraild/main.cpp
+++ b/src/kingcuptraild/main.cpp
@@ -13,22 +13,22 @@
 #include <sstream>
 
 ABSL_FLAG(std::string, settings, "", "settings file (JSON), see docs/SETTINGS.md");
-ABSL_FLAG(bool, check, false, "only check the settings file: print each fault, exit 0 when there is none");
+ABSL_FLAG(bool, check, false, "only check the settings file: print every fault and exit with 0 if there is none");
 
 namespace {
 
 using namespace kingcuptrail;
 
-constexpr const char* usage = "The kingcuptrail daemon: balancer or agent, as its settings say.\n"
+constexpr const char* usage = "The kingcuptrail daemon: runs as a balancer or an agent, depending on its settings.\n"
                               "  kingcuptraild --settings=FILE [--check]\n"
-                              "SIGTERM shuts down gracefully, a second one at once.\n"
-                              "Exit codes: 0 done, 1 stopped early, 2 usage, 3 settings refused, 4 gave up.";
+                              "SIGTERM starts a graceful shutdown; a second one stops the process at once.\n"
+                              "Exit codes: 0 success, 1 stopped early by a second signal, 2 wrong usage, 3 invalid settings, 4 start failed or too many failures.";
 
 std::optional<Settings> readSettings(const std::string& path)
 {
     std::ifstream file(path);
     if (!file) {
-        std::cerr << path << ": cannot be read\n";
+        std::cerr << path << ": cannot read the settings file\n";
         return std::nullopt;
     }
     std::ostringstream text;
@@ -68,7 +68,7 @@
         return toInt(ExitCode::SettingsRefused);
     }
     if (absl::GetFlag(FLAGS_check)) {
-        std::cout << path << ": no fault\n";
+        std::cout << path << ": the settings are valid\n";
         return toInt(ExitCode::Success);
     }
     if (!startLogging(settings->name, settings->logLevel, settings->logFormat))
--- a/src/kingcuptraild/peerlink.cpp
+++ b/src/kingcuptraild/peerlink.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-    /// Heartbeats that may be missed before a peer that sends them slowly is taken for silent.
+    /// Heartbeats that a peer with a long interval may miss before its link counts as silent.
     constexpr Millis missedHeartbeats = 5;
 
     std::string text(const flatbuffers::String* string)
@@ -167,8 +167,8 @@
     }
 }
 
-// A fabric or platform that is slow for some processes leaves them on an old configuration, which shows as packets sent
-// to a data centre that was taken out. Every heartbeat names the version in force, so whoever is behind asks the peer.
+// A slow fabric or platform can leave a process on an old configuration, so that it still sends packets to a data centre
+// that was taken out. Heartbeats carry the version in force, and a process that is behind fetches the newer one.
 void PeerLink::reconcileConfig()
 {
     if (nextConfigStep(m_config.version(), m_peerConfigVersion) != ConfigStep::Fetch || !m_config.mayFetch(m_clock.now()))
@@ -178,8 +178,9 @@
     m_link->send(encodeFrameOf(fetch));
 }
 
-// Both sides announce the interval they want, and both keep the longer one. Each side has to bear what the other sends: an agent with few links before a balancer with thousands keeps the
-// balancer's pace, or the balancer's control traffic would grow with the fleet all the same.
+// Both sides announce the interval they want, and both use the longer one. An agent with few links would otherwise send
+// heartbeats to a balancer with thousands of links at its own short interval, and the balancer's control traffic would grow
+// with the number of agents.
 Millis PeerLink::pause() const
 {
     return std::max(m_handlers.heartbeatInterval(), m_peerInterval);
--- a/src/kingcuptraild/peerlink.h
+++ b/src/kingcuptraild/peerlink.h
@@ -14,7 +14,7 @@
 
 class ConfigKeeper;
 
-/// What a peer said of itself in its hello.
+/// Identity of a peer, as given in its hello.
 struct PeerIdentity {
     wire::Role role = wire::Role::Caller;
     std::string name;
@@ -23,34 +23,34 @@
     OwnerToken token;
 };
 
-/// What a process tells its peers in every heartbeat.
+/// Load and state of a process, sent to its peers in every heartbeat.
 struct LoadReport {
     std::uint32_t openFlows = 0;
     std::uint32_t busy = 0;
     std::uint32_t queued = 0;
     std::uint32_t limit = 0;
-    /// Balancers an agent is linked to.
+    /// Number of balancers that an agent has links to.
     std::uint32_t links = 0;
     MemberState state = MemberState::Serving;
 };
 
-/// A link between two processes of the system after their hellos: heartbeats both ways, configuration spread to the
-/// peer that is behind, packets for the owner of the link.
+/// A link between two processes of the system. Exchanges hellos, then heartbeats in both directions, brings the
+/// configuration of the peer that is behind up to date, and passes packets to the owner of the link.
 class PeerLink : public std::enable_shared_from_this<PeerLink> {
 public:
     struct Handlers {
-        /// Whether the peer is one that is expected here; a reason refuses it.
+        /// Decides whether the peer is accepted; a reason refuses it.
         std::function<std::optional<wire::GoodbyeReason>(const PeerIdentity&)> onHello;
-        /// The hello was accepted.
+        /// Called when the peer's hello was accepted.
         std::function<void(PeerLink&)> onUp;
         std::function<void(PeerLink&, const wire::Packet&, std::span<const std::uint8_t> raw)> onPacket;
         std::function<void(PeerLink&, const LoadReport&)> onLoad;
-        /// The peer says goodbye: give it no more work. The link stays until one side closes it.
+        /// The peer sent a goodbye and must get no more work. The link stays open until one side closes it.
         std::function<void(PeerLink&, wire::GoodbyeReason)> onLeaving;
-        /// Frames of other kinds.
+        /// Called for frames of all other kinds.
         std::function<void(PeerLink&, const wire::Frame&, std::span<const std::uint8_t> raw)> onOther;
         std::function<void(PeerLink&, LinkError)> onClosed;
-        /// What to report in the next heartbeat, and how long until the one after it.
+        /// Provide the load for the next heartbeat, and the interval until the one after it, in milliseconds.
         std::function<LoadReport()> reportLoad;
         std::function<Millis()> heartbeatInterval;
     };
@@ -62,10 +62,10 @@
     bool sendPacket(Bytes frame) { return m_link->sendDroppable(std::move(frame)); }
     void send(Bytes frame) { m_link->send(std::move(frame)); }
 
-    /// Sends a heartbeat now, so that a change of state or configuration is known before the next regular one.
+    /// Sends a heartbeat at once, so that the peer learns of a change of state or configuration before the next regular one.
     void heartbeatNow();
 
-    /// Tells the peer that this process leaves or refuses it. `closeAfter` also ends the link.
+    /// Sends a goodbye: this process is shutting down, or it refuses the peer. `closeAfter` also closes the link.
     void goodbye(wire::GoodbyeReason reason, bool closeAfter);
 
     void close(bool flush = false);
--- a/src/kingcuptraild/registration.cpp
+++ b/src/kingcuptraild/registration.cpp
@@ -8,8 +8,8 @@
 
     constexpr const char* daemonKind = "daemon";
 
-    /// Between tries, in milliseconds. 5,000 daemons that wait for a platform to come back ask 1,000 times a second
-    /// at this pace, half of what it takes.
+    /// Wait between attempts, in milliseconds. At this interval 5,000 daemons send 1,000 requests a second to a platform
+    /// that is down or has just recovered, half of its capacity.
     constexpr Millis retryInterval = 5000;
 
 }
--- a/src/kingcuptraild/registration.h
+++ b/src/kingcuptraild/registration.h
@@ -7,7 +7,7 @@
 namespace kingcuptrail {
 
 /// Writes this daemon's object of kind `daemon` to the platform, so that operators' tools find its administration
-/// endpoint. Repeated until it is there; a platform that is down delays only that.
+/// endpoint. Retries until the object is written; nothing else in the daemon waits for it.
 class Registration : public Supervised {
 public:
     explicit Registration(const RoleContext& role);
--- a/src/kingcuptraild/resetpacket.h
+++ b/src/kingcuptraild/resetpacket.h
@@ -5,11 +5,12 @@
 
 namespace kingcuptrail {
 
-/// Whether a packet may be answered with a reset. A reset that answers a reset or a close would travel for ever.
+/// Whether a packet may be answered with a reset. Resets and closes may not, since two processes could then answer each
+/// other's resets without end.
 bool isResettable(const wire::Packet& packet);
 
-/// The reset that answers a packet: the flow ends for this reason, and `retryAfter` milliseconds are a good time to
-/// open another.
+/// Builds the reset that answers a packet: why its flow ends, and the suggested wait before the caller opens another one,
+/// in milliseconds.
 wire::PacketT makeReset(const wire::Packet& packet, RefusalReason reason, Millis retryAfter);
 
 }
--- a/src/kingcuptraild/role.h
+++ b/src/kingcuptraild/role.h
@@ -5,12 +5,12 @@
 
 namespace kingcuptrail {
 
-/// What a daemon does: balancer or agent.
+/// The part of a daemon that depends on its configured role, such as balancer or agent.
 class Role {
 public:
     virtual ~Role() = default;
 
-    /// Whether it has the addresses that it cannot work without. Otherwise the process ends, to be started again.
+    /// Whether the role could set up the addresses that it needs. If not, the process exits and has to be started again.
     virtual bool isStarted() const { return true; }
 
     /// Fields of this role for the status page, as the members of a JSON object without its braces.
@@ -19,7 +19,7 @@
     /// Appends this role's metrics in text exposition format.
     virtual void exposeMetrics(std::string& out) const = 0;
 
-    /// Leaves without cutting anything; `done` is called when nothing is left to wait for.
+    /// Shuts down gracefully, without breaking flows; `done` is called when the shutdown is complete.
     virtual void shutDown(std::function<void()> done) = 0;
 };
 
--- a/src/kingcuptraild/rolecontext.h
+++ b/src/kingcuptraild/rolecontext.h
@@ -10,7 +10,7 @@
 
 namespace kingcuptrail {
 
-/// What both roles of the daemon build on.
+/// The objects of the process that every role uses.
 struct RoleContext {
     asio::io_context& context;
     const Settings& settings;
--- a/src/kingcuptraild/troublelog.h
+++ b/src/kingcuptraild/troublelog.h
@@ -4,12 +4,13 @@
 
 namespace kingcuptrail {
 
-/// Logs when the platform begins to fail this process and when it answers again, not each failed call.
+/// Logs the beginning and the end of a platform outage as seen by this process, instead of each failed call.
 class TroubleLog {
 public:
+    /// Updates the state with the error of the last platform call; None means that it succeeded.
     void note(PlatformError lastReason);
 
-    /// The trouble that lasts, or None.
+    /// The error of the current outage, or None.
     PlatformError current() const { return m_current; }
 
 private:
--- a/src/kingcuptraild/watchers.h
+++ b/src/kingcuptraild/watchers.h
@@ -6,12 +6,12 @@
 
 namespace kingcuptrail {
 
-/// Feeds the process's configuration from the platform.
+/// Supervised watcher that updates the process's configuration from the platform.
 class ConfigFollower : public Supervised {
 public:
     enum class Mode : std::uint8_t {
         Follow,
-        /// Only the first one; later ones come from peers.
+        /// Stops after the first configuration; later ones come from peers.
         Once,
     };
 
@@ -25,7 +25,7 @@
     ConfigWatcher m_watcher;
 };
 
-/// Feeds the announcements of all agents.
+/// Supervised watcher that reports the announcements of all agents.
 class PresenceFollower : public Supervised {
 public:
     PresenceFollower(const RoleContext& role, PresenceWatcher::OnPresence onPresence, PresenceWatcher::IsInDoubt isInDoubt)
