--- a/src/kingcuptraild/balancer/agentconnection.cpp
+++ b/src/kingcuptraild/balancer/agentconnection.cpp
@@ -62,8 +62,8 @@
     m_link->start();
 }
 
-// An address may be taken over by the agent of another service between an announcement and the dial. Packets would then
-// reach an upstream of that service, so the link comes up only when the agent says what was announced.
+// Between the announcement and the dial, the agent of another service may have taken over the address, and packets would
+// reach an upstream of that service. The link is therefore accepted only if the hello matches the announcement.
 std::optional<wire::GoodbyeReason> AgentConnection::checkHello(const PeerIdentity& peer) const
 {
     const bool isExpected = peer.role == wire::Role::Agent && peer.token == m_presence.token && peer.service == m_presence.service;
--- a/src/kingcuptraild/balancer/agentconnection.h
+++ b/src/kingcuptraild/balancer/agentconnection.h
@@ -6,13 +6,13 @@
 
 namespace kingcuptrail {
 
-/// Keeps one link to one agent. A child of the supervisor of links: it fails when the link does, and is made again.
+/// One link to one agent. A child of the link supervisor: it fails when the link is lost, and the supervisor restarts it.
 class AgentConnection : public Supervised {
 public:
     /// Called when the announced process is known to have ended.
     using OnGone = std::function<void()>;
 
-    /// `handlers` gets onUp and everything after it; the hello is checked here.
+    /// `handlers` get onUp and all later events; the hello is checked against the announcement here.
     AgentConnection(const RoleContext& role, Presence presence, PeerLink::Handlers handlers, OnGone onGone, FailureHandler onFailure);
     ~AgentConnection() override;
 
--- a/src/kingcuptraild/balancer/balancer.cpp
+++ b/src/kingcuptraild/balancer/balancer.cpp
@@ -15,18 +15,19 @@
 
 namespace {
 
-    /// How long a leaving balancer goes on carrying packets that were already on their way to it, in milliseconds:
-    /// several round trips across the fabric, and more than one of the fabric's redials.
+    /// How long a balancer that shuts down still forwards packets that were already on their way to it, in milliseconds:
+    /// several round trips across the fabric, and longer than one redial of the fabric.
     constexpr Millis leaveGrace = 1000;
 
-    /// When a caller that found no upstream should come back, in milliseconds: about the time in which a member that
-    /// is only relinking is back.
+    /// Suggested retry delay when no upstream is available, in milliseconds: about the time in which a member re-establishes
+    /// a lost link.
     constexpr Millis noUpstreamRetryAfter = 500;
 
-    /// A fraction of the gap that counts as a pause, in milliseconds.
+    /// Interval at which the balancer records that its process runs, in milliseconds; a fraction of the gap that counts as a
+    /// pause.
     constexpr Millis runningInterval = 200;
 
-    /// Balancers that push a change of configuration to one agent.
+    /// Number of balancers that push a change of configuration to one agent.
     constexpr std::uint32_t newsCopies = 3;
 
     OwnerToken tokenOf(const wire::Packet& packet)
@@ -87,10 +88,10 @@
     pushNews();
 }
 
-// Load: every change of configuration, to every agent, from every balancer: 700 balancers with 4,500 links each.
-// Harm: agents follow no watch, so without a push they would hear with the next paced heartbeat, too late for a data
-// centre that was taken out; a push from each balancer would cost each of them 4,500 heartbeats a change.
-// Limit: each agent is pushed to by about `newsCopies` of its balancers; three, so that two may fail at that moment.
+// Agents do not watch the platform for configuration. Without a push they would learn of a change with the next regular
+// heartbeat, too late for a data centre that was taken out. A push from every balancer to every agent, with 700 balancers
+// and 4,500 links each, would cost each balancer 4,500 heartbeats per change. Each agent therefore gets the push from about
+// `newsCopies` of its balancers; with three, two may fail at that moment.
 void Balancer::pushNews()
 {
     for (const OwnerToken& token : m_members.tokens()) {
@@ -108,7 +109,7 @@
     reconcileConnections();
 }
 
-// An agent that is heard over its link lives; its lease matters only while it is not.
+// An agent with a live link is known to be alive, so its lease matters only while it has no link.
 bool Balancer::isInDoubt(const Presence& presence) const
 {
     const auto* entry = m_members.find(presence.token);
@@ -268,8 +269,8 @@
         m_routes.increment(PacketRoute::Dropped);
 }
 
-// An owner that this balancer has not heard of yet is linked to others that have. Any agent can pass the packet to one
-// of them; dropping it here would break the flow for as long as this balancer's view is old.
+// An owner that this balancer does not know yet may have links to other balancers. Any agent can pass the packet on to one
+// of them; dropping it here would break the flow until this balancer's member list is up to date.
 void Balancer::relay(const wire::Packet& packet)
 {
     const auto link = m_members.anyLink(packet.flow() + packet.hops());
@@ -329,8 +330,8 @@
     sendToCaller(encodeFrameOf(makeReset(packet, reason, noUpstreamRetryAfter)), PacketRoute::ResetSent);
 }
 
-// Without packets nothing else would show that the process runs, and the first one after a quiet second would look like
-// the end of a pause.
+// If only packets were recorded as a sign that the process runs, the first packet after an idle second would look like the
+// end of a pause.
 void Balancer::noteRunningRegularly()
 {
     noteRunning(m_pause, {}, m_role.clock.now());
@@ -385,9 +386,9 @@
     });
 }
 
-// A balancer that starts while the platform is down knows no service and no agent. Were it to join, the fabric would
-// spray its share of all packets over it: they would vanish, and flows would be reset as of an unknown service. The
-// fabric tries again soon, and the other balancers take every packet until then.
+// A balancer that starts while the platform is down knows no service and no agent. If it joined, the fabric would send it a
+// share of all packets, which would be lost, and flows would be reset for an unknown service. The fabric retries soon, and
+// the other balancers handle all packets until then.
 bool Balancer::knowsTheWay() const
 {
     return m_role.config.version() != 0 && m_hasHeardPresences;
--- a/src/kingcuptraild/balancer/balancer.h
+++ b/src/kingcuptraild/balancer/balancer.h
@@ -16,7 +16,7 @@
 
 namespace kingcuptrail {
 
-/// Why a balancer routed a packet as it did; one counter each.
+/// How a balancer handled a packet; each value has a counter.
 enum class PacketRoute : std::uint8_t {
     ByToken,
     Placed,
@@ -42,8 +42,8 @@
     };
 };
 
-/// The role of an entry host: takes any packet of any flow from the fabric and hands it to the agent that owns the flow.
-/// Keeps nothing per flow, so that another balancer can take any packet in its place.
+/// The role of an entry host: forwards packets from the fabric to the agents that own their flows. Keeps no state per flow,
+/// so that any balancer can handle any packet.
 class Balancer : public Role {
 public:
     explicit Balancer(const RoleContext& role);
--- a/src/kingcuptraild/balancer/membertable.cpp
+++ b/src/kingcuptraild/balancer/membertable.cpp
@@ -120,7 +120,7 @@
 {
     if (m_config.isOut(entry.presence.dataCentre))
         return MemberState::Out;
-    // The agent's own word over its link is fresher than the platform's, but neither makes a leaver serve again.
+    // The agent's report over its link is newer than the platform's entry. A member counts as draining if either says so.
     if (!entry.isAnnounced || entry.presence.state == MemberState::Lapsed)
         return MemberState::Lapsed;
     if (entry.presence.state == MemberState::Draining || entry.report.state == MemberState::Draining)
@@ -152,8 +152,8 @@
     m_index = buildMemberIndex(m_all);
 }
 
-// Each heartbeat and each placed flow changes one member's load. Building everything anew for it would cost, with
-// thousands of members, thousands of copies for each of thousands of heartbeats; only this member's places change.
+// Every heartbeat and every placed flow changes the load of one member. A rebuild for each of thousands of heartbeats would
+// copy thousands of members, so only the entries of this member are updated.
 void MemberTable::refresh(const Entry& entry)
 {
     const Member member = memberOf(entry);
--- a/src/kingcuptraild/balancer/membertable.h
+++ b/src/kingcuptraild/balancer/membertable.h
@@ -15,31 +15,32 @@
 
 namespace kingcuptrail {
 
-/// The upstreams a balancer knows, by owner token: who announced itself, whose link is up, how loaded each says it is.
-/// A replaced process and its successor are two entries, so that flows of the old one find it until it ends.
+/// The upstreams that a balancer knows, by owner token: which are announced, which have a link, and the load they report.
+/// A replaced process and its successor have separate entries, so that packets of existing flows reach the old process
+/// until it ends.
 class MemberTable {
 public:
     struct Entry {
         Presence presence;
         std::shared_ptr<PeerLink> link;
         LoadReport report;
-        /// Flows placed here by this balancer since the last report.
+        /// Flows that this balancer placed on the member since the member's last report.
         std::uint32_t placedSince = 0;
-        /// Whether the platform's last list has it.
+        /// Whether the platform's last list contains the member.
         bool isAnnounced = false;
-        /// Whether its process is known to have ended.
+        /// Whether the member's process is known to have ended.
         bool isGone = false;
     };
 
-    /// Takes the platform's list. Entries that are no longer announced stay while their link lives.
+    /// Applies the platform's list. Entries that are no longer announced stay while their link is up.
     void setPresences(const std::vector<Presence>& presences);
     void setConfig(const Config& config);
 
     void linkUp(const OwnerToken& token, std::shared_ptr<PeerLink> link);
     void linkDown(const OwnerToken& token);
-    /// The agent said goodbye: nothing new goes over its link.
+    /// Updates a member whose agent sent a goodbye: its link must not be used for new packets.
     void linkLeaving(const OwnerToken& token);
-    /// The process behind the token is known to have ended.
+    /// Records that the process with this token has ended.
     void setGone(const OwnerToken& token);
     void setReport(const OwnerToken& token, const LoadReport& report);
     void notePlaced(const OwnerToken& token);
@@ -47,15 +48,15 @@
     const Entry* find(const OwnerToken& token) const;
     std::vector<OwnerToken> tokens() const;
 
-    /// Members of a service, for placing and ranking.
+    /// Members of a service, for placement and ranking.
     std::span<const Member> members(ServiceAddress address) const;
 
-    /// All members, and where to find one by its token.
+    /// All members, and their index by owner token.
     std::span<const Member> allMembers() const { return m_all; }
     const MemberIndex& index() const { return m_index; }
 
     std::size_t linkedCount() const;
-    /// Any link that may carry a packet onward; `salt` spreads the choice.
+    /// A usable link to any member that is not out of service; `salt` spreads the choice. Null when there is none.
     std::shared_ptr<PeerLink> anyLink(std::uint64_t salt) const;
 
 private:
