--- a/src/kingcuptraild/agent/activerequest.h
+++ b/src/kingcuptraild/agent/activerequest.h
@@ -15,11 +15,11 @@
 enum class RequestStage : std::uint8_t {
     /// The body is arriving.
     Receiving,
-    /// Earlier owners are being asked about the key.
+    /// Earlier owners are being queried about the key.
     AskingEarlier,
-    /// Waits for a slot.
+    /// Waiting for a slot.
     Queued,
-    /// With the upstream.
+    /// At the upstream.
     Running,
     /// The answer, or the end of a stream, is on its way to the caller.
     Answering,
@@ -30,10 +30,12 @@
     static constexpr std::array<std::string_view, 5> names { "receiving", "askingEarlier", "queued", "running", "answering" };
 };
 
-/// One request between its head and the last byte of its answer.
+/// One request between the arrival of its head and the last byte of its answer.
 struct ActiveRequest {
     FlowId flow = 0;
+    /// Number of the request on its flow, chosen by the caller.
     std::uint64_t request = 0;
+    /// Number of the request in admission, unique within the agent's process.
     std::uint64_t work = 0;
     std::string key;
     std::string method;
@@ -64,7 +66,7 @@
     bool streamOpen = false;
     bool isPaused = false;
 
-    /// What waits for room on the flow, in order.
+    /// Messages that wait for space on the flow, in order.
     std::deque<Bytes> outbox;
     std::uint64_t streamOffset = 0;
 };
--- a/src/kingcuptraild/agent/agent.cpp
+++ b/src/kingcuptraild/agent/agent.cpp
@@ -14,17 +14,17 @@
 
 namespace {
 
-    /// How often segments that are due are sent again; half of the shortest resend wait.
+    /// Interval at which due segments are sent, in milliseconds; half of the shortest resend delay.
     constexpr Millis tickInterval = 20;
     constexpr Millis sweepInterval = 500;
 
-    /// How long a leaving agent waits for the platform to take its withdrawal, in milliseconds. Balancers know already,
-    /// so it is only tidiness, and an outage must not hold the host.
+    /// How long an agent that shuts down waits for the platform to remove its announcement, in milliseconds. Balancers know
+    /// of the shutdown by then, so an outage of the platform need not delay the host.
     constexpr Millis withdrawLimit = 1500;
 
 }
 
-/// Keeps the announcement under supervision.
+/// Runs the announcer as a child of the root supervisor.
 class Agent::AnnouncerChild : public Supervised {
 public:
     AnnouncerChild(Agent& agent)
@@ -68,7 +68,7 @@
                          auto listener = std::make_unique<Listener>(
                              m_role.context, m_listenAt, LinkOptions { .silenceLimit = m_role.settings.linkSilence },
                              [this](std::shared_ptr<Link> link) { acceptBalancer(std::move(link)); }, onFailure);
-                         // A restarted listener must come back at the address that was announced.
+                         // A restarted listener must bind the announced port again.
                          m_listenAt.port(listener->port().value_or(m_listenAt.port()));
                          return listener;
                      } });
@@ -124,14 +124,15 @@
     m_returnVersion = 0;
     m_isOut = false;
     m_flows.setDataCentreOut(false);
-    // Nobody has sent the upstream anything for as long as the data centre was out: its caches and pools are cold.
+    // The upstream got no requests while the data centre was out, so its caches and connection pools are cold.
     m_requests.restartCold();
     applyState();
 }
 
-// What waited for a slot while this process stood still is older than news it has not read: its data centre may be out
-// by now. It has waited for longer than any queue should make it, so it is refused, and its callers go elsewhere. The
-// upstream may have been restarted meanwhile, unseen by this process, so it is proved anew.
+// After a pause of this process, messages that it has not read yet are newer than the requests that wait for a slot: the
+// data centre may have been taken out. These requests have also waited longer than a queue should make them, so they are
+// refused and their callers retry elsewhere. The upstream may have been restarted during the pause without being noticed, so
+// it is treated as cold.
 bool Agent::isHeld()
 {
     const Millis now = m_role.clock.now();
@@ -152,8 +153,9 @@
     logEvent(Event::Announced, { { "upstream", presence.upstream }, { "incarnation", m_token.incarnation } });
 }
 
-// A process that was paused beyond its lease may wake beside its successor. Both would take new work for one upstream
-// and give it twice what it bears; the larger incarnation wins, and this one only finishes what it has.
+// A process that was paused for longer than its lease may resume while its successor runs. Both would accept new work for
+// one upstream and give it twice the load that it can handle. The larger incarnation therefore wins, and this process only
+// finishes the work it has.
 void Agent::handleFenced(const OwnerToken& newer)
 {
     logEvent(Event::Fenced, { { "incarnation", m_token.incarnation }, { "newer", newer.incarnation } });
@@ -296,7 +298,7 @@
     m_isDraining = true;
     m_drainProgress = { .startedAt = m_role.clock.now(), .announced = true, .announcedAt = m_role.clock.now() };
     applyState();
-    // Balancers hear it over their links at once; the platform's news is for those that are not linked.
+    // Linked balancers learn of the drain at once from a heartbeat; the state in the platform is for balancers without a link.
     beatNow();
     if (m_announcer)
         m_announcer->announcer().setState(MemberState::Draining);
@@ -350,7 +352,7 @@
     };
 }
 
-// Balancers place no new flow at an agent that says it drains; one whose upstream is unreachable says the same.
+// Balancers place no new flows on an agent that reports Draining, so an agent whose upstream is unreachable reports it too.
 MemberState Agent::state() const
 {
     return isLeaving() || !m_reachability.isReachable ? MemberState::Draining : MemberState::Serving;
--- a/src/kingcuptraild/agent/agent.h
+++ b/src/kingcuptraild/agent/agent.h
@@ -15,7 +15,8 @@
 
 namespace kingcuptrail {
 
-/// The role beside an upstream: owns the flows that end there, and decides what the upstream is given and when.
+/// The role that runs beside an upstream: owns the flows that end there, and decides which requests the upstream gets and
+/// when.
 class Agent : public Role {
 public:
     explicit Agent(const RoleContext& role);
@@ -56,7 +57,7 @@
     RequestScheduler m_requests;
     OwnerToken m_token;
     AnnouncerChild* m_announcer = nullptr;
-    /// Where balancers reach this agent; the port is the one that was bound.
+    /// The endpoint that this agent listens at for balancers, with the port that was bound.
     asio::ip::tcp::endpoint m_listenAt;
     asio::steady_timer m_tickTimer;
     asio::steady_timer m_sweepTimer;
@@ -67,7 +68,7 @@
     EnumCounters<LinkError> m_closedLinks;
     PauseWatch m_pause;
     TroubleLog m_trouble;
-    /// The configuration that brought this data centre back, until every linked balancer has it; otherwise 0.
+    /// Version of the configuration that brought this data centre back, until every linked balancer uses it; otherwise 0.
     ConfigVersion m_returnVersion = 0;
     bool m_isDraining = false;
     bool m_isFenced = false;
--- a/src/kingcuptraild/agent/answermessages.h
+++ b/src/kingcuptraild/agent/answermessages.h
@@ -8,12 +8,12 @@
 
 namespace kingcuptrail {
 
-/// The messages that tell a caller how its request ended.
+/// Encode the messages that answer or refuse a caller's request.
 Bytes answerHeadMessage(std::uint64_t request, int status, bool stream, std::string_view body);
 Bytes answerChunkMessage(std::uint64_t request, std::uint64_t offset, std::string_view bytes);
 Bytes refusalMessage(std::uint64_t request, const RefusalVerdict& verdict);
 
-/// Cuts bytes into chunks of at most maxChunkBytes and appends their messages; `offset` is that of the first byte.
+/// Splits bytes into chunks of at most maxChunkBytes and appends their messages; `offset` is that of the first byte.
 void appendChunks(std::deque<Bytes>& out, std::uint64_t request, std::uint64_t offset, std::string_view bytes);
 
 }
--- a/src/kingcuptraild/agent/answerstore.h
+++ b/src/kingcuptraild/agent/answerstore.h
@@ -12,24 +12,26 @@
 
 namespace kingcuptrail {
 
-/// The answer that a piece of non-idempotent work gave.
+/// The answer to a non-idempotent request.
 struct StoredAnswer {
     int status = 0;
     std::string body;
 };
 
-/// What one owner says about a key, with the answer when it ran here and the answer is still held.
+/// The state of a key in one owner's ledger, with the answer if the request ran there and the answer is still stored.
 struct LedgerReply {
     LedgerState state = LedgerState::Unknown;
     std::optional<StoredAnswer> answer;
 };
 
-/// The reply to an earlier owner's question, to be addressed by the caller, and back.
+/// Convert a ledger reply to and from its wire form. The query's number and the asker are set by the caller of
+/// makeLedgerAnswer().
 wire::LedgerAnswerT makeLedgerAnswer(const LedgerReply& reply);
 LedgerReply readLedgerAnswer(const wire::LedgerAnswer& answer);
 
-/// Keeps the answers of finished non-idempotent work, so that a caller whose flow went silent before its answer came
-/// still gets it on the retry. Bounded: the oldest go first, and the retry is then told that the work ran.
+/// Keeps the answers to finished non-idempotent requests, so that a caller whose flow went silent before the answer arrived
+/// gets it on the retry. The size is bounded: the oldest answers are dropped first, and a retry then only learns that the
+/// request ran.
 class AnswerStore {
 public:
     void add(const std::string& key, StoredAnswer answer);
@@ -37,9 +39,9 @@
     std::size_t heldBytes() const { return m_heldBytes; }
 
 private:
-    /// An answer larger than this is not kept: receipts are small, and a few large ones would push the others out.
+    /// Larger answers are not kept. Answers are usually small receipts, and a few large ones would displace the others.
     static constexpr std::size_t maxAnswerBytes = std::size_t { 64 } * 1024;
-    /// About a minute of receipts of 1 KiB at 130 a second, far above what one upstream with a few slots gives.
+    /// Holds about a minute of receipts of 1 KiB at 130 a second, far more than one upstream with a few slots produces.
     static constexpr std::size_t maxHeldBytes = std::size_t { 8 } * 1024 * 1024;
 
     std::unordered_map<std::string, StoredAnswer> m_answers;
--- a/src/kingcuptraild/agent/earlierowners.cpp
+++ b/src/kingcuptraild/agent/earlierowners.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-    /// How long an earlier owner may take to answer before it is asked again, and how often it is asked.
-    /// A balancer that carried the question may have died with it; the next one goes over another link.
+    /// Wait before an unanswered query is repeated, in milliseconds, and the number of attempts. The balancer that carried a
+    /// query may have failed, so the next attempt goes over another link.
     constexpr Millis askAgainAfter = 300;
     constexpr std::uint32_t maxAsks = 4;
 
--- a/src/kingcuptraild/agent/earlierowners.h
+++ b/src/kingcuptraild/agent/earlierowners.h
@@ -9,18 +9,18 @@
 
 namespace kingcuptrail {
 
-/// Asks the earlier owners of resent requests what became of them, again over another link where no answer comes, and
-/// tells what libdecision makes of it.
+/// Queries the earlier owners of resent requests for the outcome of earlier attempts, repeats unanswered queries over other
+/// links, and reports the decision that libdecision makes from the answers.
 class EarlierOwners {
 public:
     using RequestPtr = std::shared_ptr<ActiveRequest>;
 
     struct Hooks {
         std::function<void(std::uint64_t query, const OwnerToken& holder, const std::string& key)> ask;
-        /// Nothing ran and nothing will run elsewhere.
+        /// The request did not run elsewhere and will not.
         std::function<void(const RequestPtr&)> onMayRun;
         std::function<void(const RequestPtr&, const RefusalVerdict&)> onRefused;
-        /// It ran, and its answer is still held by the owner that was asked.
+        /// The request ran, and the queried owner still had its answer.
         std::function<void(const RequestPtr&, const StoredAnswer&)> onAnswered;
     };
 
@@ -29,7 +29,7 @@
     void begin(const RequestPtr& request, const OwnerToken& own, Millis now);
     void handleAnswer(std::uint64_t query, const LedgerReply& reply);
 
-    /// Asks again those that are silent, and gives them up in the end.
+    /// Repeats unanswered queries, and treats owners that never answer as unreachable.
     void tick(Millis now);
 
 private:
--- a/src/kingcuptraild/agent/flowtable.cpp
+++ b/src/kingcuptraild/agent/flowtable.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-    /// When a caller that met a full or leaving agent should open its flow again, in milliseconds.
+    /// Suggested delay before a caller opens its flow again after a reset by a full or draining agent, in milliseconds.
     constexpr Millis reopenAfter = 200;
 
     OwnerToken tokenOf(const wire::Packet& packet)
@@ -169,8 +169,8 @@
     }
 }
 
-// Another agent holds the flow, or may: the packet goes back to a balancer, which knows more agents than this one. A
-// different balancer than the one it came from is taken if there is one, since that one's view sent it here.
+// Another agent holds the flow, or may hold it, so the packet goes back to a balancer, which knows more agents than this
+// one. The balancer that sent the packet is avoided if there is another one, since its member list led to this agent.
 void FlowTable::passOn(const std::shared_ptr<PeerLink>& from, const wire::Packet& packet, bool visitedMe)
 {
     std::unique_ptr<wire::PacketT> onward(packet.UnPack());
--- a/src/kingcuptraild/agent/flowtable.h
+++ b/src/kingcuptraild/agent/flowtable.h
@@ -18,16 +18,17 @@
 namespace kingcuptrail {
 
 struct FlowTableOptions {
-    /// Flows held at most; more are refused, so that one upstream's memory stays bounded.
+    /// Limit for the number of flows; further ones are refused, so that the memory for one upstream stays bounded.
     std::size_t flowLimit = 20000;
-    /// How long a caller may say nothing, in milliseconds. Callers probe idle flows, so a longer silence means that the
-    /// caller is gone or the path has lost track of the flow.
+    /// How long a flow may get no packet from its caller before it is ended, in milliseconds. Callers probe idle flows, so a
+    /// longer silence means that the caller is gone or that the network no longer delivers the packets of the flow.
     Millis flowSilence = 90000;
-    /// An opened flow whose caller never came back, in milliseconds: a duplicated open that another agent won.
+    /// How long an opened flow may get no further packet before it is ended, in milliseconds. Such a flow comes from a
+    /// duplicated open, and its caller uses the flow that another agent opened.
     Millis unconfirmedLimit = 15000;
 };
 
-/// How flows ended at this agent.
+/// How a flow ended at this agent; each value has a counter.
 enum class FlowEnd : std::uint8_t {
     ClosedByCaller,
     Silent,
@@ -49,30 +50,30 @@
     };
 };
 
-/// Holds the flows that this agent owns: decides on each packet, keeps both ends' segments in order, and answers over
-/// whichever balancer is there.
+/// Holds the flows that this agent owns. Decides on each packet, keeps the segments of both directions in order, and answers
+/// over any available balancer.
 class FlowTable {
 public:
     struct Hooks {
-        /// Takes a message; false when it is none that a caller may send.
+        /// Handles a message; false when its kind is not one that a caller may send.
         std::function<bool(FlowId, const wire::Message&)> onMessage;
-        /// A flow that refused a message has room again.
+        /// Called when a flow that refused a message has space in its send queue again.
         std::function<void(FlowId)> onRoom;
         std::function<void(FlowId)> onEnded;
-        /// Whether packets are to be left alone, since this process stood still and has not read its news yet.
+        /// Whether to drop packets, since this process was paused and has not read all waiting messages yet.
         std::function<bool()> isHeld;
-        /// Whether requests of the flow are under way.
+        /// Whether requests of the flow are in progress.
         std::function<bool(FlowId)> hasRequests;
     };
 
     FlowTable(const Clock& clock, const FlowTableOptions& options, Hooks hooks);
 
     void setOwnToken(const OwnerToken& token) { m_token = token; }
-    /// The address of this agent's service; 0 while no configuration names it.
+    /// Sets the address of this agent's service; 0 while no configuration names it.
     void setService(ServiceAddress address) { m_service = address; }
     void setFlowLimit(std::size_t limit) { m_options.flowLimit = limit; }
     void setDraining(bool isDraining) { m_isDraining = isDraining; }
-    /// Gives up every flow when it becomes true.
+    /// Ends every flow when the value becomes true.
     void setDataCentreOut(bool isOut);
 
     void linkUp(std::shared_ptr<PeerLink> link);
@@ -80,19 +81,19 @@
 
     void handlePacket(const std::shared_ptr<PeerLink>& from, const wire::Packet& packet);
 
-    /// Queues a message on a flow; false when it has no room.
+    /// Queues a message on a flow; false when its send queue is full. A message for an unknown flow is discarded.
     bool send(FlowId flow, Bytes message);
 
     /// Sends a frame over any usable balancer link; false when there is none.
     bool sendOverAnyLink(Bytes frame);
 
-    /// Sends what is due, in order of need: new and resent segments.
+    /// Sends the segments that are due, new and resent ones.
     void tick();
-    /// Drops flows that are silent or were never confirmed.
+    /// Ends flows that are silent or were never confirmed.
     void sweep();
-    /// Closes flows that may be closed while this agent drains, and says whether any is left.
+    /// Closes the flows that may be closed while this agent drains, and returns whether the drain is complete.
     DrainStep drainStep(DrainProgress& progress, const DrainOptions& options);
-    /// Ends every flow that is left, for a shutdown that has reached its limit.
+    /// Ends all remaining flows when a shutdown has reached its time limit.
     void closeAll(RefusalReason reason);
 
     std::size_t flowCount() const { return m_flows.size(); }
--- a/src/kingcuptraild/agent/requestmetrics.h
+++ b/src/kingcuptraild/agent/requestmetrics.h
@@ -5,7 +5,7 @@
 
 namespace kingcuptrail {
 
-/// Counts of how requests ended at this agent.
+/// How a request ended at this agent; each value has a counter.
 enum class RequestEnd : std::uint8_t {
     Answered,
     AnsweredFromLedger,
@@ -19,7 +19,7 @@
     static constexpr std::array<std::string_view, 5> names { "answered", "answeredFromLedger", "streamEnded", "refused", "abandoned" };
 };
 
-/// What an agent counts of its requests.
+/// Counters and histograms of an agent's requests.
 struct RequestMetrics {
     EnumCounters<RefusalReason> refusals;
     EnumCounters<RequestEnd> ends;
--- a/src/kingcuptraild/agent/requestscheduler.cpp
+++ b/src/kingcuptraild/agent/requestscheduler.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-    /// Chunks of a stream that may wait for room on a flow before the upstream is no longer read.
+    /// Chunks of a stream that may wait for space on a flow before reading from the upstream is paused.
     constexpr std::size_t maxStreamOutbox = 64;
 
-    /// When a request that found no memory should come back, in milliseconds: about the time of one upload.
+    /// Suggested retry delay for a request that is refused for lack of memory, in milliseconds: about the time of one upload.
     constexpr Millis memoryRetryAfter = 1000;
 
 }
@@ -109,8 +109,8 @@
         hold(*request, request->bodyLength);
 }
 
-// A request that has no chance is refused before its body is sent: an upload that would only be refused at its end
-// costs its end user the whole transfer.
+// Refuses a request that cannot succeed before its body is sent. A refusal after the upload would cost the end user the
+// whole transfer.
 std::optional<RefusalVerdict> RequestScheduler::judgeHead(const ActiveRequest& request) const
 {
     if (m_refuseNew != RefusalReason::None)
@@ -173,7 +173,7 @@
     refuse(request, refusalOf(verdict));
 }
 
-// The work ran for an earlier try whose flow went silent: the caller gets the answer it gave then.
+// The request ran in an earlier attempt whose flow went silent, so the caller gets the stored answer of that attempt.
 void RequestScheduler::answerAgain(const RequestPtr& request, const StoredAnswer& stored)
 {
     m_metrics.ends.increment(RequestEnd::AnsweredFromLedger);
@@ -224,9 +224,9 @@
     request->call = startHttpCall(m_context, m_options.upstream, std::move(http), options, std::move(handlers));
 }
 
-// A feed is held open for hours. It takes a slot only while the upstream sets it up: two thousand open feeds before
-// five slots would otherwise keep every query out, while feeds that all come back at once to a cold upstream still
-// take their turn.
+// A feed stays open for hours, so it uses a slot only while the upstream sets it up. Otherwise two thousand open feeds on
+// five slots would block every query. The slot for the setup makes feeds wait in the queue when all of them reconnect to a
+// cold upstream at once.
 void RequestScheduler::handleHead(const RequestPtr& request, const HttpResponse& head)
 {
     if (isShed(head))
@@ -282,7 +282,7 @@
         refuse(request, { Ran::Unknown, isTimeout ? RefusalReason::UpstreamTimeout : RefusalReason::UpstreamLost, 0 });
 }
 
-// An empty chunk tells the caller that its feed ended where the upstream ended it, and was not cut.
+// An empty chunk tells the caller that the upstream ended the feed regularly, as opposed to a lost connection.
 void RequestScheduler::endStream(const RequestPtr& request)
 {
     m_metrics.ends.increment(RequestEnd::StreamEnded);
@@ -291,11 +291,10 @@
     pump(request);
 }
 
-// Load: an upstream that is restarted within less than a probe while no request is under way; its end users all come back.
-// Harm: neither a failed request nor a refused connection shows the restart, only feeds that are cut, so that a cold
-// upstream would be given the load of a warm one.
-// Limit: only when no feed is left open. A restart cuts all of them; one that ends badly by itself must not take a warm
-// upstream back to one slot.
+// An upstream may restart between two probes while no request is in progress. Neither a failed request nor a refused
+// connection then shows the restart, only feeds that lose their connection, and when all end users reconnect the cold
+// upstream would get the load of a warm one. A restart breaks all feeds, so the upstream counts as cold only when no feed is
+// left open; a single broken feed must not reduce a warm upstream to one slot.
 void RequestScheduler::noteCutFeed()
 {
     const bool isAnyOpen = std::ranges::any_of(m_byWork, [](const auto& entry) { return entry.second->streamOpen && entry.second->call; });
@@ -387,7 +386,7 @@
 {
     if (request->stage == RequestStage::Queued)
         cancelQueued(m_admission, request->work);
-    // The slot is free once the connection is gone: closing it is how an HTTP/1.1 upstream is told.
+    // An HTTP/1.1 request is cancelled by closing its connection; the slot is free from then on.
     if (request->call) {
         request->call->cancel();
         request->call = nullptr;
--- a/src/kingcuptraild/agent/requestscheduler.h
+++ b/src/kingcuptraild/agent/requestscheduler.h
@@ -20,26 +20,27 @@
 struct RequestSchedulerOptions {
     asio::ip::tcp::endpoint upstream;
     std::string service;
-    /// One request's body at most. It is held whole, since its hash is checked before any of it runs.
+    /// Size limit for the body of one request. The whole body is kept in memory, since its hash is checked before the
+    /// request runs.
     std::size_t maxBodyBytes = std::size_t { 16 } * 1024 * 1024;
-    /// All bodies and answers held at once at most: four times the largest body, so that one slow sender cannot keep
-    /// others out, and an agent stays far below its host's memory.
+    /// Size limit for all bodies and answers in memory at once: four times the largest body, so that one slow sender cannot
+    /// block others, and far below the memory of the host.
     std::size_t maxHeldBytes = std::size_t { 64 } * 1024 * 1024;
-    /// When a request names no deadline, in milliseconds.
+    /// Time allowed for a request that names no deadline, in milliseconds.
     Millis defaultDeadline = 30000;
     LedgerOptions ledger;
 };
 
-/// Takes the requests of all flows through receipt, the questions to earlier owners, admission, the upstream and the
-/// answer. The decisions are libdecision's; here they meet the upstream's connection and the flows.
+/// Handles the requests of all flows from receipt to answer: the queries to earlier owners, admission, the call to the
+/// upstream and the reply. Decisions are made by libdecision; this class connects them to the upstream and the flows.
 class RequestScheduler {
 public:
     struct Hooks {
-        /// Queues a message on a flow; false when the flow has no room, and it is called again by flowHasRoom().
+        /// Queues a message on a flow; false when the flow's send queue is full. The message is sent again on flowHasRoom().
         std::function<bool(FlowId, Bytes)> send;
-        /// Whether a request's connection to the upstream was accepted.
+        /// Reports whether the upstream accepted the connection of a request.
         std::function<void(bool isConnected)> onContact;
-        /// Asks an earlier owner about a key; answered by handleLedgerAnswer().
+        /// Sends a query about a key to an earlier owner; the answer is passed to handleLedgerAnswer().
         std::function<void(std::uint64_t query, const OwnerToken& holder, const std::string& key)> askLedger;
     };
 
@@ -48,20 +49,21 @@
     RequestScheduler(const RequestScheduler&) = delete;
     RequestScheduler& operator=(const RequestScheduler&) = delete;
 
-    /// Slots and queue limits of the service, from the configuration in force.
+    /// Sets the slots and queue limits of the service, from the configuration in force.
     void setAdmission(const AdmissionOptions& options) { m_admissionOptions = options; }
     void setOwnToken(const OwnerToken& token) { m_ownToken = token; }
 
-    /// While set, new requests are refused as not run for this reason, and what waits when it is set; None accepts them.
+    /// Refuses waiting and new requests for this reason, as not run, until it is set to None.
     void setRefuseNew(RefusalReason reason);
 
-    /// False when the message is not one that a caller may send.
+    /// Handles a message from a caller; false when its kind is not one that a caller may send.
     bool handleMessage(FlowId flow, const wire::Message& message);
-    /// Refuses what waits for a slot, as not run.
+    /// Refuses all requests that wait for a slot, as not run.
     void refuseWaiting(RefusalReason reason);
+    /// Resumes sending on a flow whose send queue has space again.
     void flowHasRoom(FlowId flow);
-    /// The flow is gone: idempotent work is cancelled; a non-idempotent request that runs is left to end, so that its
-    /// outcome is known to whoever asks later.
+    /// Cancels the requests of a flow that has ended. A non-idempotent request that is running is left to finish, so that
+    /// its outcome is known to later queries.
     void flowEnded(FlowId flow);
 
     LedgerReply answerLedgerQuery(const std::string& key);
--- a/src/kingcuptraild/agent/upstreamprobe.cpp
+++ b/src/kingcuptraild/agent/upstreamprobe.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-    /// Often enough to see a restart within a few requests, seldom enough to cost a cold upstream nothing.
+    /// Short enough to notice a restart within a few requests, long enough to add no load to a cold upstream.
     constexpr Millis probeInterval = 1000;
-    /// While nothing accepts connections a probe costs the upstream nothing, and each interval is time without service.
+    /// Shorter while the upstream is unreachable: a probe then adds no load, and every interval delays the return to service.
     constexpr Millis probeIntervalUnreachable = 200;
     constexpr Millis probeTimeout = 800;
     constexpr int statusOk = 200;
 
-    /// The busy slots an upstream reports as {"busy": N}; 0 when it reports nothing readable.
+    /// The busy slots that the upstream reports as {"busy": N}; 0 when the answer cannot be parsed.
     std::uint32_t busyOf(const std::optional<HttpResponse>& response)
     {
         if (!response)
--- a/src/kingcuptraild/agent/upstreamprobe.h
+++ b/src/kingcuptraild/agent/upstreamprobe.h
@@ -9,13 +9,13 @@
 
 namespace kingcuptrail {
 
-/// Asks the upstream's own health and load endpoints about once a second. Both lag or mislead, so what they say is a
-/// hint for admission and never a verdict.
+/// Polls the health and load endpoints of the upstream about once a second. Their answers may be late or wrong, so admission
+/// uses them only as a hint.
 class UpstreamProbe : public Supervised {
 public:
     struct Handlers {
         std::function<void(const UpstreamHint&)> onHint;
-        /// Whether the upstream accepted a connection. The only part of a probe that is measured and not told.
+        /// Reports whether the upstream accepted a connection. This is the only part of a probe that the agent observes itself.
         std::function<void(bool isConnected)> onContact;
     };
 
--- a/src/kingcuptraild/agent/upstreamrequest.h
+++ b/src/kingcuptraild/agent/upstreamrequest.h
@@ -7,14 +7,14 @@
 
 namespace kingcuptrail {
 
-/// The request as the upstream gets it; takes the body. Headers tell the service, the key, the body's hash and the
-/// time left.
+/// Builds the HTTP request for the upstream and moves the body out of `request`. Headers carry the service, the key, the
+/// hash of the body and the time left until the deadline.
 HttpRequest upstreamRequest(ActiveRequest& request, const std::string& service, Millis now);
 
-/// Whether the upstream turned a request away before it ran any of it: status 503 with `X-Request-Ran: no`.
+/// Whether the upstream shed the request without running any of it: status 503 with `X-Request-Ran: no`.
 bool isShed(const HttpResponse& response);
 
-/// When the upstream wants the request back, in milliseconds; 0 when it does not say.
+/// The retry delay that the upstream asks for, in milliseconds; 0 when it names none.
 Millis retryAfterOf(const HttpResponse& response);
 
 }
--- a/src/kingcuptraild/agent/upstreamwatch.cpp
+++ b/src/kingcuptraild/agent/upstreamwatch.cpp
@@ -4,10 +4,10 @@
 
 namespace {
 
-    /// Between attempts to connect while they fail, in milliseconds.
+    /// Wait between attempts to connect while they fail, in milliseconds.
     constexpr Millis retryInterval = 200;
-    /// A server that closes a connection sooner than this does not keep idle ones; it is connected to once in as long, in
-    /// milliseconds.
+    /// A server that closes the connection sooner than this does not keep idle connections, in milliseconds. It is connected
+    /// to at most once in this time.
     constexpr Millis shortestIdle = 1000;
 
 }
@@ -52,7 +52,7 @@
     m_handlers.onContact(!error);
 }
 
-// Nothing was asked: what is read is what a server says before it closes an idle connection.
+// No request was sent, so any data is what a server sends before it closes an idle connection.
 void UpstreamWatch::awaitEnd()
 {
     m_socket.async_read_some(asio::buffer(m_ignored), [this, lifetime = std::weak_ptr(m_lifetime)](asio::error_code error, std::size_t) {
--- a/src/kingcuptraild/agent/upstreamwatch.h
+++ b/src/kingcuptraild/agent/upstreamwatch.h
@@ -11,14 +11,14 @@
 
 namespace kingcuptrail {
 
-/// Holds one idle connection to the upstream and connects again when it is lost. The end of the upstream's process closes
-/// it at once, so that a restart shows even if no request is under way and none comes before the next process listens.
+/// Keeps one idle connection to the upstream and reconnects when it is lost. The connection closes as soon as the upstream's
+/// process ends, so that a restart is noticed even if no request is in progress before the next process listens.
 class UpstreamWatch : public Supervised {
 public:
     struct Handlers {
-        /// Whether an attempt to connect was accepted.
+        /// Reports whether the upstream accepted an attempt to connect.
         std::function<void(bool isConnected)> onContact;
-        /// The connection's end shows that the upstream was restarted.
+        /// Called when the end of the connection shows that the upstream was restarted.
         std::function<void()> onRestart;
     };
 
@@ -33,7 +33,7 @@
 
     const RoleContext& m_role;
     Handlers m_handlers;
-    /// Completions that were queued before the end of this object see that it is gone.
+    /// Lets handlers that are still queued when this object is destroyed detect the destruction.
     std::shared_ptr<bool> m_lifetime = std::make_shared<bool>(true);
     asio::ip::tcp::socket m_socket;
     asio::steady_timer m_timer;
