--- a/tests/daemon/testagentannouncement.cpp
+++ b/tests/daemon/testagentannouncement.cpp
@@ -36,9 +36,9 @@
         runUntil(m_context, [this] { return isInStore(); });
     }
 
-    // An upstream leaves just when its host loses power. The host comes back, the agent hears no upstream and is told to
-    // stop. What the process before it had written stayed in the store: every search in the deployment waited for an agent
-    // that was not there, and callers of lost flows for their deadlines.
+    // Guards against an entry that stays in the store after its agent is gone. An upstream leaves while its host loses power;
+    // the restarted agent finds no upstream and is stopped. If it does not withdraw the entry that its predecessor wrote, every
+    // search in the deployment waits for a missing agent, and callers of lost flows wait until their deadlines.
     void entryOfAnEarlierProcessIsWithdrawn()
     {
         announce();
@@ -49,7 +49,7 @@
         CPPUNIT_ASSERT(!isInStore());
     }
 
-    // The store turns a leaving agent's host away and takes it back a moment later. One try was all that was made.
+    // Guards against a withdrawal that is attempted only once: the store may refuse the calls of the agent's host for a moment.
     void withdrawalOutlastsAnOutage()
     {
         announce();
@@ -74,7 +74,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t { 1 }, announcement.callsMade());
     }
 
-    // Guards against a write and a read for each agent when all of them are restarted at once.
+    // Guards against a write and another read for every agent when all agents are restarted at once.
     void restartBesideALivingUpstreamWritesNothing()
     {
         announce();
@@ -90,8 +90,8 @@
         CPPUNIT_ASSERT_EQUAL(writes, countCalls("PUT", "agent-1"));
     }
 
-    // Guards against an agent that nobody finds in the store: the process before it had just taken the entry out, and the
-    // answer that showed it was some seconds old.
+    // Guards against an agent without an entry in the store: the previous process has just withdrawn the entry, and the new
+    // one reads an answer of the store that is some seconds old and still contains it.
     void oldAnswerIsNotTrustedForGood()
     {
         announce();
@@ -107,7 +107,7 @@
         runUntil(m_context, [this] { return isInStore(); });
     }
 
-    // Guards against the same when the upstream is replaced beside one process.
+    // Guards against the same failure when the upstream is replaced while the agent's process stays.
     void whatThisProcessHasTakenOutIsWrittenAnew()
     {
         AgentAnnouncement announcement(m_context, m_options);
@@ -122,8 +122,8 @@
         CPPUNIT_ASSERT_EQUAL(reads, countCalls("GET", "agent-1"));
     }
 
-    // A host comes back without its upstream, and its agent withdraws what stood there; the upstream starts while the
-    // withdrawal is under way. It was withdrawn for good, and processes that started later never learnt of it.
+    // Guards against an upstream that processes started later never learn of. The agent of a restarted host finds no upstream
+    // and withdraws the old entry, and the upstream starts while the withdrawal is in progress.
     void upstreamThatComesBackIsAnnouncedAgain()
     {
         announce();
--- a/tests/daemon/testbadinput.cpp
+++ b/tests/daemon/testbadinput.cpp
@@ -14,7 +14,7 @@
 
 constexpr Millis testLimit = 8000;
 
-/// A daemon's port with short limits, and one raw client. Tells why the daemon closed the link.
+/// The listening port of a daemon, with one raw client. Reports why the daemon closed the link.
 class Port {
 public:
     explicit Port(const LinkOptions& options)
@@ -95,8 +95,8 @@
     CPPUNIT_TEST(hostilePacketsOpenNothing);
     CPPUNIT_TEST_SUITE_END();
 
-    // Something that is no peer of ours connects to a daemon's port: a scanner, a wrong program, a peer that hangs in
-    // the middle of a frame. The daemon has to close the link for a reason it can count, and must not wait for ever.
+    // Guards against links that stay open without a valid peer, such as a port scanner, a wrong program or a peer that hangs
+    // in the middle of a frame. The daemon must close each link within its limits and report the right reason.
     void eachKindOfBadPeerIsClosedForItsReason()
     {
         const LinkOptions limits { .handshakeTimeout = 300, .silenceLimit = 700, .frameTimeout = 300 };
@@ -135,8 +135,8 @@
         CPPUNIT_ASSERT_EQUAL(std::string("peerClosed"), std::string(nameOf(port.closedFor())));
     }
 
-    // Bits flip on the way, or a peer of another build sends something alike. Whatever the verifier lets through must be
-    // safe to read to its last field.
+    // Guards against unsafe reads of corrupted frames, or of frames from a different build. Every field of a frame that passes
+    // the verifier must be safe to read.
     void mutatedFramesNeverPassAsPackets()
     {
         std::mt19937 random(20261202);
@@ -163,8 +163,8 @@
         CPPUNIT_ASSERT(read > 0);
     }
 
-    // A hostile caller sends packets with every field at random. None may open a flow for an address that is not the
-    // service's, and none may take memory for ever.
+    // Guards against a hostile caller that sends packets with random fields. No packet may open a flow for an address of
+    // another service, and the number of flows must stay within its limit.
     void hostilePacketsOpenNothing()
     {
         std::mt19937_64 random(7);
--- a/tests/daemon/testconfigkeeper.cpp
+++ b/tests/daemon/testconfigkeeper.cpp
@@ -51,8 +51,8 @@
         return config;
     }
 
-    // An operator takes a data centre out; a slow watch then delivers the version before. The data centre would be
-    // served again until the next change.
+    // Guards against a data centre that returns to service by itself: an operator takes it out, and a slow watch then delivers
+    // the previous version.
     void olderConfigurationNeverReturns()
     {
         ConfigKeeper keeper;
@@ -65,8 +65,8 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t { 1 }, keeper.olderIgnored());
     }
 
-    // Three processes hear of changes unevenly: one follows the platform, one hears each change from it, one hears
-    // only now and then. Parts arrive in reverse. All must end with the same configuration.
+    // Guards against processes that diverge. One follows the platform, one gets every change from the first, and one gets a
+    // delta over several changes now and then from either. Parts arrive in reverse order. All must hold the same configuration.
     void deltasBringEveryPeerToTheSameConfiguration()
     {
         std::mt19937 random(11);
--- a/tests/daemon/testmembertable.cpp
+++ b/tests/daemon/testmembertable.cpp
@@ -26,9 +26,9 @@
         return routeByToken(table.index(), table.allMembers(), board, 0);
     }
 
-    // An agent is killed. Its callers' packets went nowhere until each flow was given up as silent, six seconds and
-    // more later, and queries missed their deadlines meanwhile. The agent's host refuses connections at once, which
-    // proves that the process is gone, so the balancer may say so.
+    // Guards against callers that wait six seconds or more, until each flow counts as silent, after an agent was killed, while
+    // their queries miss deadlines. The agent's host refuses connections at once, which proves that the process has ended, so
+    // the balancer can reset its flows.
     void flowsOfAnEndedProcessAreResetAtOnce()
     {
         MemberTable table = makeTable();
@@ -37,8 +37,8 @@
         CPPUNIT_ASSERT(route(table).reason == RefusalReason::OwnerGone);
     }
 
-    // A link is lost while its agent lives, as when the path between them has lost track of it. The flow must not be
-    // reset on that alone: another balancer may still reach the owner.
+    // Guards against resets of flows whose owner is alive. A lost link alone does not prove that the agent has ended, since
+    // another balancer may still reach it.
     void flowsOfAnUnlinkedOwnerAreNotReset()
     {
         CPPUNIT_ASSERT(route(makeTable()).action == RouteAction::AnyAgent);
