--- a/src/kingcuptraild/agent/requestscheduler.h
+++ b/src/kingcuptraild/agent/requestscheduler.h
@@ -36,7 +36,7 @@
 class RequestScheduler {
 public:
     struct Hooks {
-        /// Queues a message on a flow; false when the flow's send queue is full. The message is sent again on flowHasRoom().
+        /// Queues a message on a flow; false when the flow's send queue is full. flowHasRoom() then tries again.
         std::function<bool(FlowId, Bytes)> send;
         /// Reports whether the upstream accepted the connection of a request.
         std::function<void(bool isConnected)> onContact;
--- a/src/kingcuptraild/balancer/balancer.cpp
+++ b/src/kingcuptraild/balancer/balancer.cpp
@@ -91,7 +91,7 @@
 // Agents do not watch the platform for configuration. Without a push they would learn of a change with the next regular
 // heartbeat, too late for a data centre that was taken out. A push from every balancer to every agent, with 700 balancers
 // and 4,500 links each, would cost each balancer 4,500 heartbeats per change. Each agent therefore gets the push from about
-// `newsCopies` of its balancers; with three, two may fail at that moment.
+// three of its balancers, of which two may fail at that moment.
 void Balancer::pushNews()
 {
     for (const OwnerToken& token : m_members.tokens()) {
--- a/src/kingcuptraild/configkeeper.h
+++ b/src/kingcuptraild/configkeeper.h
@@ -20,7 +20,7 @@
     /// versions out of order, and an older one could return a data centre to service that was taken out.
     bool offer(Config config);
 
-    /// Encodes the frames that bring a peer from version `have` to the version in force; none when the peer is not behind.
+    /// The frames that bring a peer from `have` to the version in force; none when it is not behind.
     std::vector<Bytes> snapshotFor(ConfigVersion have) const;
 
     /// Adds one part of a peer's snapshot. The configuration is put in force when the last missing part arrives.
@@ -36,8 +36,7 @@
     std::uint64_t olderIgnored() const { return m_olderIgnored; }
 
 private:
-    /// Parts of one snapshot that were received so far, from one or more peers. Peers send identical parts for the same
-    /// version and base.
+    /// Parts of one snapshot, received from one or more peers. All peers send the same parts for a version and base.
     struct Assembly {
         ConfigDelta delta;
         std::vector<bool> hasPart;
--- a/src/kingcuptraild/troublelog.h
+++ b/src/kingcuptraild/troublelog.h
@@ -4,10 +4,10 @@
 
 namespace kingcuptrail {
 
-/// Logs the beginning and the end of a platform outage as seen by this process, instead of each failed call.
+/// Logs the beginning and the end of a platform outage, instead of each failed call.
 class TroubleLog {
 public:
-    /// Updates the state with the error of the last platform call; None means that it succeeded.
+    /// Records the error of the last platform call, or None.
     void note(PlatformError lastReason);
 
     /// The error of the current outage, or None.
