--- a/src/kingcuptraild/agent/agent.cpp
+++ b/src/kingcuptraild/agent/agent.cpp
@@ -267,6 +267,7 @@
 
 void Agent::tick()
 {
+    // Detects a pause of this process also while no packets arrive.
     isHeld();
     m_flows.tick();
     m_requests.tick();
--- a/src/kingcuptraild/agent/upstreamwatch.cpp
+++ b/src/kingcuptraild/agent/upstreamwatch.cpp
@@ -6,8 +6,7 @@
 
     /// Wait between attempts to connect while they fail, in milliseconds.
     constexpr Millis retryInterval = 200;
-    /// A server that closes the connection sooner than this does not keep idle connections, in milliseconds. It is connected
-    /// to at most once in this time.
+    /// Shortest time between two connections, in milliseconds. A server that closes them sooner does not keep idle ones.
     constexpr Millis shortestIdle = 1000;
 
 }
