--- a/src/libdecision/admissionqueue.h
+++ b/src/libdecision/admissionqueue.h
@@ -8,15 +8,15 @@
 
 namespace kingcuptrail {
 
-/// An opening packet that waits at its agent for room at the upstream.
+/// An opening packet that waits at an agent until its upstream has capacity.
 struct WaitingOpening {
     FlowKey flow;
-    /// When its caller began to open the flow, as far as the copy that came here tells.
+    /// When the caller sent the first copy of the packet, estimated from the copy number of the one that arrived.
     Millis startedAt = 0;
     Millis arrivedAt = 0;
-    /// When the last copy of it came: its caller was still there.
+    /// When the latest copy arrived, which shows that the caller was still waiting.
     Millis seenAt = 0;
-    /// Until when an answer is likely to be within the route's latency target if the opening is admitted by then.
+    /// If the opening is admitted by this time, the answer is likely to meet the route's latency target.
     Millis timelyUntil = 0;
     /// 0 is the most urgent.
     std::uint32_t priority = 0;
@@ -25,44 +25,43 @@
 };
 
 struct AdmissionQueueOptions {
-    /// Openings that may wait for each slot of the upstream. Bounds the agent's memory; the order of admission keeps timely
-    /// openings from waiting behind the others.
+    /// Openings that may wait for each slot of the upstream. This bounds the agent's memory. Openings past their latency
+    /// target don't delay the others, since they are admitted last.
     std::uint32_t waitingPerSlot = 20;
-    /// How long after its caller began an opening may wait, in milliseconds.
+    /// How long an opening may wait, in milliseconds since its caller sent it first.
     Millis longestWait = longestOpeningWait();
 };
 
-/// Openings that wait at one agent.
-/// Load: everybody returns at once after an outage, several seconds' worth of work within a tenth of a second. Harm: worked
-/// off in the order of arrival, each waits behind the whole backlog and every answer is late; refused at once, callers use
-/// up their retries before the backlog is gone. Here the newest that can still be in time go first, and the others fill the
-/// slots that are idle.
+/// Openings that wait at one agent. After an outage all callers return within a tenth of a second and bring several
+/// seconds' worth of work. Served in order of arrival, every opening would wait behind the whole backlog and every answer
+/// would be late. Refused at once, callers would use up their retries before the backlog is gone. So the newest openings
+/// that can still be answered in time are admitted first, and the others fill slots that would otherwise be idle.
 struct AdmissionQueue {
     AdmissionQueueOptions options;
     std::vector<WaitingOpening> waiting;
 };
 
-/// Notes a copy of an opening packet; whether that opening waits here.
+/// Records that a copy of an opening packet arrived. Returns whether that opening waits here.
 bool takeCopy(AdmissionQueue&, const FlowKey&, Millis now);
 
-/// Whether an answer is likely to be within the latency target when the opening is admitted now.
+/// Whether the answer is likely to meet the latency target if the opening is admitted now.
 bool isTimely(const WaitingOpening&, Millis now);
 
-/// Openings that wait and can still be answered in time.
+/// Number of waiting openings that can still be answered in time.
 std::uint32_t countTimely(const AdmissionQueue&, Millis now);
 
-/// Lets an opening wait; false when the queue is full.
+/// Adds an opening to the queue; returns false when the queue is full.
 bool enqueue(AdmissionQueue&, WaitingOpening opening, std::uint32_t slots);
 
-/// The opening to admit next: of those that can still be in time the most urgent, and of these the newest; without any, the
-/// one that was last heard of. Callers leave without a word when their deadline passes: taken from the oldest on, most
-/// places at the upstream would be kept for callers that have left.
+/// Removes and returns the opening to admit next: among those that can still be answered in time the most urgent, and the
+/// newest of these; if there is none, the one whose caller sent a copy most recently. Callers give up at their deadline
+/// without sending anything, so admitting the oldest first would spend most slots on callers that have left.
 std::optional<WaitingOpening> takeNext(AdmissionQueue&, Millis now);
 
-/// The opening that takeNext() would take; nothing when none waits. Valid until the queue changes.
+/// The opening that takeNext() would return, or nullptr when the queue is empty. Valid until the queue changes.
 const WaitingOpening* peekNext(const AdmissionQueue&, Millis now);
 
-/// Takes out the openings that have waited too long.
+/// Removes and returns the openings that have waited for longer than `longestWait`.
 std::vector<WaitingOpening> takeExpired(AdmissionQueue&, Millis now);
 
 }
--- a/src/libdecision/agentchoice.cpp
+++ b/src/libdecision/agentchoice.cpp
@@ -14,12 +14,13 @@
         std::uint64_t tie = 0;
     };
 
-    /// Above any load: an agent that does not answer or has just refused comes after all others.
+    /// Larger than any load, so that an agent that does not answer or has just refused comes after all others.
     constexpr double lastResort = 1000.0;
-    /// Requests that differ by less than this part of all slots count as equally loaded; the hash decides.
+    /// Loads that differ by less than this fraction of all slots count as equal, and the hash decides.
     constexpr double scoreStep = 0.2;
 
-    /// Openings that wait at an agent stay for longer than their news takes, so they count in full.
+    /// Openings in an agent's queue wait for longer than a load report takes to arrive, so a load of more than twice the
+    /// slots counts unsmoothed.
     double loadOf(const AgentLoad& load)
     {
         const double slots = std::max(load.slots, 1U);
@@ -49,7 +50,7 @@
     scored.reserve(candidates.size());
     const std::uint64_t hash = flowHash(flow);
     for (const AgentCandidate& candidate : candidates) {
-        // Half a thousandth keeps a sum of tenths from falling just below its step.
+        // Keeps rounding errors in a sum of tenths from placing a score just below its step.
         constexpr double rounding = 0.0005;
         const double steps = std::max(0.0, scoreOf(candidate, options, now) + options.nearAllowance + rounding) / scoreStep;
         const std::uint64_t tie = rankWeight(hash, candidate.address);
--- a/src/libdecision/agentflows.cpp
+++ b/src/libdecision/agentflows.cpp
@@ -4,11 +4,11 @@
 
 namespace {
 
-    /// Parts of the table that a sweep looks at in one call; with a call every 100 ms all of it is seen in 3.2 s.
+    /// The table is swept in this many calls; with one call every 100 ms a full sweep takes 3.2 s.
     constexpr std::size_t sweepParts = 32;
 
-    /// How far beyond the upstream's answer a caller's first acknowledgement may be: the answer takes one number, and the
-    /// first packet that arrives may already acknowledge a few full packets (16 in flight of 1,200 bytes).
+    /// How far a caller's first acknowledgement may be beyond the upstream's answer. The answer takes one sequence number,
+    /// and the first packet that arrives may already acknowledge several full packets (16 in flight of 1,200 bytes).
     constexpr std::uint32_t longestFirstStep = 16 * 1200 + 1;
 
     void clearWork(AgentFlows& table, AgentFlow& flow)
@@ -19,7 +19,7 @@
         --table.atWork;
     }
 
-    /// Work that already counts for nearly as long is left as it is, in milliseconds, so that a long upload does not enter
+    /// An expiry is extended only by at least this much, in milliseconds, so that a long upload does not add an entry for
     /// each of its packets.
     constexpr Millis workStep = 300;
 
@@ -45,7 +45,7 @@
     }
 
     /// A copy of the opening packet may have been admitted at two upstreams. Only the one whose answer the caller
-    /// acknowledges owns the flow; the other one would hand every packet back.
+    /// acknowledges owns the flow; the other one would return every packet.
     bool acknowledgesAnswerOf(const AgentFlow& flow, std::uint32_t acknowledged)
     {
         if (!flow.answerSequence)
@@ -53,7 +53,7 @@
         return acknowledged - *flow.answerSequence <= longestFirstStep;
     }
 
-    /// Notes that the caller has sent up to `end`; whether that is more than was known. Positions wrap around.
+    /// Records that the caller has sent up to `end`. Returns whether that is new data. Sequence numbers wrap around.
     bool noteSent(AgentFlow& flow, std::uint32_t end)
     {
         if (flow.callerSent && static_cast<std::int32_t>(end - *flow.callerSent) <= 0)
@@ -92,7 +92,7 @@
 {
     const auto [found, isNew] = table.flows.try_emplace(key);
     AgentFlow& flow = found->second;
-    // The same ends may be used again once the old flow is over.
+    // The same pair of endpoints may be reused once the old flow is closed.
     if (isNew || flow.phase == FlowPhase::Closed) {
         flow = {};
         flow.openedAt = now;
@@ -144,7 +144,7 @@
     UpstreamPacketNews news { .isAnswer = head.flags.opens && head.flags.acknowledges };
     auto found = table.flows.find(key);
     if (found == table.flows.end()) {
-        // A reset says that the upstream does not hold the flow, or holds it no more.
+        // A reset of an unknown flow means that the upstream does not hold it.
         if (head.flags.resets)
             return news;
         found = table.flows.try_emplace(key).first;
@@ -212,7 +212,8 @@
 
 void expireWork(AgentFlows& table, Millis now)
 {
-    // The two lengths of time are mixed in one line, so a short one may wait behind a longer one; the line is short.
+    // The queue holds entries of two durations, so an entry may stand behind one that expires later. The queue is short, so
+    // each call checks all of it.
     const auto isDue = [now](const WorkExpiry& expiry) { return expiry.at <= now; };
     for (const WorkExpiry& expiry : table.workExpiries) {
         const auto found = isDue(expiry) ? table.flows.find(expiry.flow) : table.flows.end();
--- a/src/libdecision/busyagents.h
+++ b/src/libdecision/busyagents.h
@@ -8,24 +8,25 @@
 namespace kingcuptrail {
 
 struct BusyAgentsOptions {
-    /// Agents that are asked for a free slot before an opening waits at one of them.
+    /// Number of agents that are asked for a free slot before the opening is queued at one of them.
     std::uint32_t askedForASlot = 2;
-    /// Agents that are asked to let it wait.
+    /// Number of agents that are then asked to queue the opening.
     std::uint32_t askedToWait = 2;
-    /// Part of questions in vain from which on no agent is asked for a slot, and the part of each question in that figure.
+    /// When at least this fraction of the requests for a slot is refused, agents are no longer asked for one. `smoothing`
+    /// is the weight of each new request in that fraction.
     double mostlyBusy = 0.8;
     double smoothing = 0.05;
 };
 
-/// What becomes of an opening when agents have no room for it.
+/// The next step for an opening that an agent has refused for want of capacity.
 enum class BusyStep : std::uint8_t {
     /// Ask the next agent for a free slot.
     AskNext,
-    /// Nobody who was asked has a free slot: wait at the one with the least work.
+    /// None of the agents that were asked has a free slot: queue the opening at the one with the least work.
     WaitAtLeastLoaded,
-    /// Ask the next agent to let it wait.
+    /// Ask the next agent to queue the opening.
     AskNextToWait,
-    /// As many as may be asked are full, so nearly all of them are: the caller is told at once.
+    /// The limit of agents to ask is reached and all are full, so nearly all agents are: refuse the opening at once.
     Refuse,
 };
 
@@ -34,25 +35,24 @@
     static constexpr std::array<std::string_view, 4> names { "askNext", "waitAtLeastLoaded", "askNextToWait", "refuse" };
 };
 
-/// What one balancer has met lately.
-/// Load: all agents of a service are full and callers go on coming. Harm: each opening that no queue takes is offered to
-/// every agent, thousands of messages a second at the hosts that are least able to send them. Here the messages for one
-/// opening are bounded, whatever the number of agents.
+/// How often agents lately had no free slot, as one balancer observed. When all agents of a service are full and callers
+/// keep coming, offering each opening to every agent would cost thousands of messages a second on hosts that are already
+/// overloaded. The messages for one opening are therefore bounded, whatever the number of agents.
 struct BusyAgents {
     BusyAgentsOptions options;
-    /// Part of the last questions for a slot that met an agent without a free one.
+    /// Fraction of the recent requests for a slot that were refused, smoothed.
     double busyShare = 0;
 };
 
-/// Notes whether an agent that was asked had no free slot.
+/// Records whether an agent that was asked for a free slot had none.
 void noteSlotQuestion(BusyAgents&, bool isBusy);
 
-/// Whether the next agent is asked for a free slot, when so many have none. When hardly anybody has one the question only
+/// Whether the next agent is asked for a free slot after `busyAgents` had none. When hardly any agent has one, asking only
 /// costs messages.
 bool needsFreeSlot(const BusyAgents&, std::uint32_t busyAgents);
 
-/// What to do once `busyAgents` have refused the opening for want of room. `askedInRound` counts the agents that it may wait
-/// at: those asked since it was last offered to all of them.
+/// The next step after `busyAgents` have refused the opening for want of capacity. `askedInRound` counts the agents asked
+/// since the opening was last offered to all of them; it may wait at one of these.
 BusyStep stepAfterBusy(const BusyAgents&, std::uint32_t busyAgents, std::size_t askedInRound);
 
 }
--- a/src/libdecision/directory.h
+++ b/src/libdecision/directory.h
@@ -22,10 +22,10 @@
     static constexpr std::array<std::string_view, 2> names { "balancer", "agent" };
 };
 
-/// Whether an agent takes new flows, as it announces it.
+/// Whether an agent accepts new flows, as announced by itself.
 enum class PeerState : std::uint8_t {
     Ready,
-    /// Takes no new flow; holds its open ones.
+    /// Accepts no new flow; keeps its open ones.
     Draining,
     /// Its upstream or its host is gone.
     Gone,
@@ -36,64 +36,67 @@
     static constexpr std::array<std::string_view, 3> names { "ready", "draining", "gone" };
 };
 
-/// What a process announces of itself to all others.
+/// What a process announces about itself to all others.
 struct PeerEntry {
     std::string name;
     PeerRole role = PeerRole::Agent;
-    /// IPv4 address of its host; the port for messages between processes is the same on all hosts.
+    /// IPv4 address of its host. All hosts use the same port for messages between processes.
     std::uint32_t address = 0;
     std::string dataCentre;
-    /// Of an agent: what its upstream serves.
+    /// For an agent: the service of its upstream.
     std::string service;
     PeerState state = PeerState::Ready;
     std::uint32_t slots = 1;
-    /// Orders the announcements of one name. Each process begins above all that it finds under its name.
+    /// Orders the announcements of one name. A process starts above every epoch that it finds for its name.
     std::uint64_t epoch = 0;
 
     bool operator==(const PeerEntry&) const = default;
 };
 
-/// Parts by which directories are compared; a power of two.
+/// Number of hash buckets by which directories are compared; a power of two.
 inline constexpr std::size_t directoryParts = 256;
 
-/// Every process that is known, by name. The same everywhere after some rounds of news; not a list of who lives.
+/// All known processes by name. Gossip makes the directories of all processes equal after some rounds. An entry does not
+/// mean that its process is alive.
 struct Directory {
     std::map<std::string, PeerEntry, std::less<>> entries;
-    /// Digests of names and epochs, by partOf() of the name.
+    /// Digests of names and epochs; the index is partOf() of the name.
     std::array<std::uint64_t, directoryParts> partDigests {};
-    /// Names of the agents that take new flows, by service: each opening looks at its service's agents only, however many
-    /// there are in all.
+    /// Names of the agents that accept new flows, by service, so that an opening's cost depends on the agents of its
+    /// service and not on all agents.
     std::map<std::string, std::set<std::string>, std::less<>> readyAgents;
 };
 
-/// Takes an announcement unless one at least as new is known; whether it was taken.
+/// Stores an announcement unless one with the same or a higher epoch is known. Returns whether it was stored.
 bool offerEntry(Directory&, PeerEntry);
 
-/// Whether an announcement that the store still holds is of a process that has said since that it is gone. A leaver that
-/// cannot reach the store leaves it there, and everybody who starts later would wait for its answers.
+/// Whether an announcement in the store belongs to a process that has since announced that it is gone. A process that
+/// cannot reach the store when it stops leaves its announcement there, and processes that start later would wait for its
+/// answers.
 bool isLeftBehind(const Directory&, const PeerEntry& listed);
 
-/// Whether the entry is of an agent that may hold flows: one that takes no new ones holds its open ones.
+/// Whether the entry belongs to an agent that may hold flows. A draining agent accepts no new flows but keeps its open
+/// ones.
 inline bool mayHoldFlows(const PeerEntry& entry)
 {
     return entry.role == PeerRole::Agent && entry.state != PeerState::Gone;
 }
 
-/// The part of a directory that an entry of this name belongs to.
+/// The hash bucket of a directory that this name belongs to.
 std::size_t partOf(std::string_view name);
 
-/// A number that is the same in all processes that know the same entries in the same epochs.
+/// A digest that is equal in all processes that know the same entries with the same epochs.
 std::uint64_t digestOf(const Directory&);
 
-/// A number that is the same in all processes that know the same agents that may hold flows, by their addresses. Says less
-/// than digestOf(): neither balancers nor the order of announcements matter to who has to be asked for a flow, and after a
-/// loss of power processes agree on it while they still learn the rest.
+/// A digest over the addresses of the agents that may hold flows. It ignores balancers and epochs, which don't matter for
+/// whom to ask about a flow, so after a power failure processes agree on it while the rest of their directories still
+/// differs.
 std::uint64_t agentsDigestOf(const Directory&);
 
-/// The same of one data centre's agents, without those that are `excluded`.
+/// The same digest over the agents of one data centre, without those in `excluded`.
 std::uint64_t agentsDigestOf(const Directory&, std::string_view dataCentre, std::span<const std::uint32_t> excluded);
 
-/// The agents that take new flows for a service, as they announce it; in the order of their names.
+/// The agents that accept new flows for a service, in the order of their names.
 std::vector<const PeerEntry*> readyAgentsOf(const Directory&, std::string_view service);
 
 const PeerEntry* findByAddress(const Directory&, std::uint32_t address);
--- a/src/libdecision/directoryagreement.h
+++ b/src/libdecision/directoryagreement.h
@@ -5,29 +5,28 @@
 namespace kingcuptrail {
 
 struct DirectoryAgreementOptions {
-    /// How long a peer's word that it has the same directory holds, in milliseconds: several rounds of news.
+    /// How long a peer's message that its directory is equal remains valid, in milliseconds; several gossip rounds.
     Millis wordTime = 1500;
 };
 
-/// Whether a process may take its directory for complete, by the digests that peers name.
-/// Load: hosts join while balancers are restarted in turn, so that a new agent's first flows move to balancers that have
-/// not heard of it. Harm: such a balancer hears no from every agent that it knows, takes the flow for lost and resets it
-/// at its caller while the upstream serves. Most peers know a new agent within some 20 ms, and a process hears some sixteen
-/// words a second: one that differs shows within a tenth of a second that this process, or the peer, lacks something. No
-/// word from before counts then.
+/// Whether a process may treat its directory as complete, judged by the digests that peers send. When hosts join while
+/// balancers are restarted, a new agent's first flows can reach a balancer that does not know the agent yet. All agents
+/// that it knows deny the flow, and it would reset a flow that the new upstream holds. Most peers know a new agent within
+/// some 20 ms, and a process receives about sixteen digests a second, so a differing digest shows within a tenth of a
+/// second that this process or the peer lacks an entry. It cancels every earlier agreement.
 struct DirectoryAgreement {
     DirectoryAgreementOptions options;
-    /// When a peer last named the same directory; 0 when another one has been named since.
+    /// When a peer last sent an equal digest; 0 when a different one has arrived since.
     Millis agreedAt = 0;
 };
 
-/// Takes the digest that a peer names.
+/// Records whether the digest that a peer sent equals the own one.
 void takeDirectoryWord(DirectoryAgreement&, bool isSame, Millis now);
 
-/// The process stood still: what it was told before is old.
+/// Clears the agreement after the process was paused, since earlier digests are out of date.
 void forgetAgreement(DirectoryAgreement&);
 
-/// Whether the last word heard was of the same directory, and recent.
+/// Whether the last digest received was equal and is still valid.
 bool isAgreed(const DirectoryAgreement&, Millis now);
 
 }
--- a/src/libdecision/directorydifference.cpp
+++ b/src/libdecision/directorydifference.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-    /// The parts are powers of two, so that coarse ones are sums of the finest.
+    /// The numbers of buckets are powers of two, so the digest of a larger bucket is the XOR of smaller ones.
     std::vector<std::uint32_t> foldedDigests(const Directory& directory, std::size_t parts)
     {
         std::vector<std::uint32_t> digests(parts);
--- a/src/libdecision/directorydifference.h
+++ b/src/libdecision/directorydifference.h
@@ -5,28 +5,30 @@
 namespace kingcuptrail {
 
 struct DirectoryDifferenceOptions {
-    /// A process compares its directory with a peer's at most this often, in milliseconds.
+    /// Minimum time between two comparisons of a process's directory with a peer's, in milliseconds.
     Millis interval = 50;
-    /// Entries in one part of the directory on average: fewer make a comparison larger, more make the answer to it larger.
+    /// Average number of entries in one bucket of the directory. A smaller number makes the comparison message larger, a
+    /// larger one the answer to it.
     std::size_t entriesInPart = 4;
-    /// Parts of the smallest directory.
+    /// Minimum number of buckets, for small directories.
     std::size_t fewestParts = 16;
-    /// Entries that are sent after one comparison. With more the whole directory is fetched instead.
+    /// Maximum number of entries sent in answer to one comparison. With more differences the whole directory is fetched.
     std::size_t mostEntries = 48;
 };
 
-/// What one process holds that a peer lacks or holds in another epoch, as far as digests tell.
+/// The entries that a peer lacks or has with another epoch, as far as digests show.
 struct DirectoryDifference {
-    /// The entries of all parts that differ, older ones of this process included; empty when there are too many.
+    /// All entries of the buckets whose digests differ, including entries that are older than the peer's; empty when there
+    /// are too many.
     std::vector<PeerEntry> entries;
     bool isLarge = false;
 };
 
-/// Digests of the directory's parts, for a peer that compares them with its own.
+/// Digests of the directory's buckets, to be sent to a peer that compares them with its own.
 std::vector<std::uint32_t> partDigestsOf(const Directory&, const DirectoryDifferenceOptions& = {});
 
-/// Compares a directory with the digests that a peer has sent; the number of parts is the peer's choice. Digests that no
-/// process sends differ in nothing.
+/// Compares a directory with the digests that a peer has sent. The peer chooses the number of buckets. Returns no
+/// difference when that number is invalid.
 DirectoryDifference differenceTo(const Directory&, std::span<const std::uint32_t> partDigests, const DirectoryDifferenceOptions& = {});
 
 }
--- a/src/libdecision/formerflows.cpp
+++ b/src/libdecision/formerflows.cpp
@@ -8,7 +8,7 @@
 
     bool showsNewUpstream(const FormerFlows& former, const UpstreamReport& report)
     {
-        // Everything that a process which reports for the first time will hold passes here.
+        // A process that sends its first report has received no flow before this agent listened.
         constexpr std::uint64_t firstSequence = 1;
         if (report.sequence <= firstSequence)
             return true;
--- a/src/libdecision/formerflows.h
+++ b/src/libdecision/formerflows.h
@@ -5,55 +5,56 @@
 namespace kingcuptrail {
 
 struct FormerFlowsOptions {
-    /// An upstream that was born this much before its agent's process, or later, was served by no earlier process, in
-    /// milliseconds: one that ends is started again after a delay, and would have had to start, serve and end in between.
+    /// If the upstream started at most this long before its agent, or later, no earlier agent process has served it, in
+    /// milliseconds. An agent that exits is restarted after a delay, so an earlier one would have had to start, serve and
+    /// exit within this time.
     std::uint64_t bornBeforeLimit = 150;
-    /// Reports that such an upstream may have made in vain before its agent listened. It also bounds what a clock that was
-    /// set between both starts can pretend.
+    /// Number of reports that such an upstream may have sent before its agent listened. The limit also bounds the effect of
+    /// a clock that was set back between both starts, which makes an older upstream look new.
     std::uint64_t reportsInVain = 3;
-    /// Without any report the agent tries to connect to its upstream after this long, in milliseconds: a new upstream
+    /// If no report arrives, the agent tries to connect to its upstream after this long, in milliseconds. A new upstream
     /// reports at once.
     Millis firstConnection = 200;
-    /// The same after the last report. Above a heartbeat.
+    /// The same delay after the last report, in milliseconds. Longer than a heartbeat interval.
     Millis laterConnection = 2000;
-    /// Refused connections, and the time between the first and the last, after which nobody is there, in milliseconds. Two,
-    /// since an upstream that starts listens a moment later.
+    /// Number of refused connections, and minimum time between the first and the last in milliseconds, after which the
+    /// upstream counts as gone. At least two, since an upstream that starts begins to listen a moment later.
     std::uint32_t refusalsNeeded = 2;
     Millis refusalSpan = 100;
-    /// An upstream that has said nothing for this long is gone, in milliseconds of running time. Above some heartbeats, one
-    /// of which may wait a second for an answer on a connection that went silent.
+    /// An upstream that has sent nothing for this long counts as gone, in milliseconds of the agent's running time. Longer
+    /// than several heartbeat intervals, since a heartbeat may wait a second for an answer on a dead connection.
     Millis silenceLimit = 4000;
-    /// Of the time between two calls of noteListening at most so much counts as running, in milliseconds: a process that stood still has not
-    /// listened.
+    /// The time between two calls of noteListening() counts up to this limit, in milliseconds. A longer gap means that the
+    /// process was paused and did not listen.
     Millis longestGap = 200;
 };
 
-/// What an agent knows of flows that its upstream may hold and the agent has not seen: those from before its start.
-/// Load: all hosts lose power; some come back without an upstream, since it was leaving, or hear its second report first.
-/// Harm: such an agent could not say that a flow is not there, so that no search in the whole deployment ended for certain;
-/// callers of lost flows waited for their deadlines until it had left.
+/// Decides whether the upstream may hold flows from before the agent's start, which the agent has not seen. After a power
+/// failure of all hosts some agents start without an upstream, because it was being stopped, or receive its second report
+/// first. Unless such an agent can deny a flow, no search for a lost flow in the deployment ends with certainty, and the
+/// callers of lost flows wait for their deadlines.
 struct FormerFlows {
     FormerFlowsOptions options;
-    /// The process's start, in Unix milliseconds by the clock that the upstream's birth is told in.
+    /// The process's start in Unix milliseconds, comparable with the start time in the upstream's reports.
     std::uint64_t startedAtWall = 0;
     bool hasReport = false;
-    /// What the upstream holds was opened through this process.
+    /// Every flow of the upstream was opened through this process.
     bool isProvedNew = false;
-    /// Nobody is there who could hold anything.
+    /// No upstream process is running that could hold a flow.
     bool isGone = false;
     std::uint32_t refusals = 0;
     Millis firstRefusalAt = 0;
     Millis lastRefusalAt = 0;
-    /// Somebody accepted a connection, or it hung: only silence can tell then.
+    /// A connection was accepted or timed out, so only the silence limit can show that the upstream is gone.
     bool isAnybodyThere = false;
     Millis listenedAt = 0;
     Millis silence = 0;
 };
 
-/// Takes a report that is not stale; `isNewProcess` when another process spoke for the upstream before.
+/// Records a report that is not stale. `isNewProcess` tells that the report before it came from another process.
 void takeSignOfLife(FormerFlows&, const UpstreamReport&, bool isNewProcess);
 
-/// The upstream has said that it is gone.
+/// Records the upstream's notice that it shuts down.
 void takeEnd(FormerFlows&);
 
 enum class ConnectionOutcome : std::uint8_t {
@@ -62,20 +63,21 @@
     Unclear,
 };
 
-/// Takes how a connection to the upstream ended.
+/// Records the outcome of a connection attempt to the upstream.
 void noteConnection(FormerFlows&, ConnectionOutcome, Millis now);
 
-/// Counts the time in which the process listened; to be called a few times a second. True when it shows for the first time
-/// that the upstream is gone.
+/// Adds the time since the last call to the upstream's silence; to be called several times a second. Returns true when the
+/// upstream is first found to be gone.
 bool noteListening(FormerFlows&, Millis now);
 
-/// Whether it may soon show that nobody is there: no report has come and nobody has accepted a connection.
+/// Whether refused connections may soon show that there is no upstream: no report has arrived and no connection was
+/// accepted.
 bool mayTurnOutGone(const FormerFlows&);
 
-/// Whether a connection to the upstream would tell something now.
+/// Whether to try a connection to the upstream now.
 bool shouldConnect(const FormerFlows&);
 
-/// Whether the upstream holds nothing that this process has not seen.
+/// Whether the upstream holds no flow that this process has not seen.
 bool knowsEveryFlow(const FormerFlows&);
 
 }
--- a/src/libdecision/holdersearch.cpp
+++ b/src/libdecision/holdersearch.cpp
@@ -11,8 +11,8 @@
     return search;
 }
 
-// The list of agents may have grown since the search began: a process that has just started learns it piece by piece. What
-// the first few say of a flow says nothing about the others.
+// The list of agents may have grown since the search began, since a process that has just started learns it step by step.
+// Answers of the agents known first don't show that the others don't hold the flow.
 std::vector<std::uint32_t> askMissing(HolderSearch& search, std::span<const std::uint32_t> agents)
 {
     std::vector<std::uint32_t> missing;
@@ -62,7 +62,8 @@
 {
     if (search.state == SearchState::Found)
         return search.state;
-    // Also after everybody has said no: an agent that was left out, or a directory that is not complete.
+    // This also counts after all agents that were asked have denied the flow: the holder may be an agent that was left out
+    // or was missing from the directory.
     if (answer == HolderAnswer::Held) {
         search.holder = agent;
         search.state = SearchState::Found;
@@ -76,8 +77,8 @@
         return search.state;
     if (answer == HolderAnswer::Unsure)
         search.unsure.push_back(agent);
-    // An agent that stays silent may be cut off or stopped with the flow still held behind it: only a no from each of them
-    // makes it certain that nobody holds the flow.
+    // An agent that does not answer may be cut off or paused while its upstream still holds the flow. Only a denial from
+    // every agent proves that nobody holds it.
     if (search.awaited.empty() && search.unsure.empty())
         search.state = SearchState::HeldByNobody;
     return search.state;
--- a/src/libdecision/holdersearch.h
+++ b/src/libdecision/holdersearch.h
@@ -7,11 +7,11 @@
 
 namespace kingcuptrail {
 
-/// How a balancer's search for the agent that holds a flow stands.
+/// State of a balancer's search for the agent that holds a flow.
 enum class SearchState : std::uint8_t {
     Asking,
     Found,
-    /// Every agent that could hold the flow has said that it does not.
+    /// Every agent that could hold the flow has denied it.
     HeldByNobody,
 };
 
@@ -20,47 +20,47 @@
     static constexpr std::array<std::string_view, 3> names { "asking", "found", "heldByNobody" };
 };
 
-/// A search for one flow's holder: every agent is asked, and a packet of the flow waits for the answer.
+/// A search for the holder of one flow. Every agent is asked, and a packet of the flow waits for the answer.
 struct HolderSearch {
     Millis startedAt = 0;
-    /// Every agent that was asked, whatever it said.
+    /// Every agent that was asked, including those that have answered.
     std::vector<std::uint32_t> asked;
     std::vector<std::uint32_t> awaited;
-    /// Agents whose upstream may hold the flow from before their start; they get the packet itself.
+    /// Agents whose upstream may hold the flow from before the agent's start; the packet itself is sent to them.
     std::vector<std::uint32_t> unsure;
     std::uint32_t holder = 0;
     SearchState state = SearchState::Asking;
 };
 
-/// Begins a search among `agents`. Without any there is nobody who could say that the flow is lost.
+/// Begins a search among `agents`. If `agents` is empty the search stays in state Asking, since no agent can deny the flow.
 HolderSearch beginSearch(std::vector<std::uint32_t> agents, Millis now);
 
-/// Asks further agents in the same search; those of `agents` that were not asked yet. Yields them; the search goes on when
-/// there are any.
+/// Adds those of `agents` to the search that were not asked yet, and returns them. If there are any, a search that ended
+/// with HeldByNobody goes on.
 std::vector<std::uint32_t> askMissing(HolderSearch&, std::span<const std::uint32_t> agents);
 
-/// The agents whose no is still missing: those that did not answer, and those that are unsure. An agent that was asked through
-/// a neighbour counts as unsure when the neighbour is, also one that is gone.
+/// The agents that have not denied the flow: those that did not answer and those that are unsure. An agent that was asked
+/// through another one of its data centre counts as unsure when that one is unsure about it, even if it is gone.
 std::vector<std::uint32_t> unansweredIn(const HolderSearch&);
 
-/// Those of `agents` that have said nothing yet.
+/// Those of `agents` that have not answered yet.
 std::vector<std::uint32_t> awaitedOf(const HolderSearch&, std::span<const std::uint32_t> agents);
 
-/// What the word of one agent for its data centre says about the agents for which it was asked.
+/// What an agent that answers for its data centre says about the other agents there.
 struct NearAnswer {
     std::vector<std::uint32_t> denied;
-    /// It has asked them and they could not say.
+    /// Agents that it has asked and that could not deny the flow.
     std::vector<std::uint32_t> open;
-    /// It does not know them.
+    /// Agents that it does not know.
     std::vector<std::uint32_t> unheard;
 };
 
-/// Sorts those of `members` that have yet to say no by what the agent says of them; one that has said itself that it is unsure
-/// is left as it is unless it has denied since.
+/// Classifies those of `members` that have not denied the flow yet by an answer for their data centre. An agent that has
+/// answered unsure itself is left out unless the answer lists it as denied.
 NearAnswer sortNearAnswer(const HolderSearch&, std::span<const std::uint32_t> members, std::span<const std::uint32_t> denied, std::span<const std::uint32_t> open);
 
-/// Takes one agent's answer; the state that the search is in then. Answers from agents that were not asked count only when
-/// they hold the flow.
+/// Records one agent's answer and returns the resulting state. An agent that was not asked counts only if it holds the
+/// flow.
 SearchState takeAnswer(HolderSearch&, std::uint32_t agent, HolderAnswer);
 
 }
--- a/src/libdecision/opengate.cpp
+++ b/src/libdecision/opengate.cpp
@@ -27,7 +27,7 @@
             return OpenRefusal::DataCentreOut;
         if (routes.version == 0 || outages.revision == 0)
             return OpenRefusal::NoConfiguration;
-        // A balancer with a newer configuration has decided by that one.
+        // If the balancer has a newer configuration, its decision applies.
         const bool decidesHere = routes.version >= attempt.balancerVersion;
         if (decidesHere && !allowsService(routes, attempt.address, gate.upstream->service))
             return OpenRefusal::WrongService;
@@ -61,8 +61,8 @@
     const double workPerSlot = attempt.needsFreeSlot ? 1.0 : gate.options.workPerSlot;
     if (attempt.atWork >= workPerSlot * gate.upstream->slots)
         return OpenRefusal::Busy;
-    // Without a configured rate a cold upstream is only slow, and the bound on waiting work is enough. A bound of our own
-    // would refuse nearly everybody for a whole warm-up after every upstream has lost power at once.
+    // Without a configured rate only the limit on waiting work applies, since a cold upstream is merely slow. A rate chosen
+    // by the agent itself would refuse nearly all openings for a whole warm-up after a power failure of every upstream.
     if (now < gate.coldUntil && limits && limits->coldRate > 0) {
         if (!hasColdRoom(gate, limits->coldRate, now))
             return OpenRefusal::Cold;
--- a/src/libdecision/opengate.h
+++ b/src/libdecision/opengate.h
@@ -12,29 +12,29 @@
 /// Why an agent does not admit an opening packet.
 enum class OpenRefusal : std::uint8_t {
     None,
-    /// No report of a living upstream yet, or none for too long.
+    /// No report of a running upstream has arrived, or none for too long.
     NoUpstream,
     UpstreamDraining,
-    /// The agent's own process is stopping.
+    /// The agent's own process is shutting down.
     AgentLeaving,
     DataCentreOut,
-    /// The process stood still and has not yet heard what changed meanwhile.
+    /// The process was paused and has not yet received what changed meanwhile.
     ViewInDoubt,
     /// No configuration is known.
     NoConfiguration,
-    /// The configuration in force does not send the address here.
+    /// The configuration in force does not route the address to this upstream's service.
     WrongService,
-    /// A cold upstream already gets what it bears.
+    /// The upstream is cold and has reached its admission rate.
     Cold,
-    /// The upstream holds as many flows as it may.
+    /// The upstream holds as many flows as its limit allows.
     FlowLimit,
-    /// So much work waits at the upstream that an opening has to wait, or cannot even wait.
+    /// The upstream has so much work that the opening would have to wait, or the queue is full.
     Busy,
-    /// The upstream itself handed the packet back.
+    /// The upstream returned the packet.
     Returned,
-    /// It waited at the agent for as long as its caller does.
+    /// The opening waited at the agent until its caller gave up.
     WaitedTooLong,
-    /// The upstream accepts flows and breaks off their requests.
+    /// The upstream accepts flows and resets their requests.
     UpstreamFailing,
 };
 
@@ -58,18 +58,18 @@
     };
 };
 
-/// Whether the reason may be gone within the time that an opening can wait: a process that has just started learns the
-/// configuration within some round trips, and hears its upstream with the next heartbeat.
+/// Whether the reason may disappear while the opening waits. A process that has just started receives the configuration
+/// within a few round trips, and its upstream's next heartbeat.
 bool isPassing(OpenRefusal refusal);
 
-/// What an upstream says of itself in a heartbeat.
+/// The contents of an upstream's heartbeat.
 struct UpstreamReport {
     std::string id;
     std::string service;
     std::string dataCentre;
-    /// Unix milliseconds of the upstream's start, by its own clock. Orders the processes that speak for one address.
+    /// Unix milliseconds of the upstream's start, by its own clock. Orders the processes that report for one address.
     std::uint64_t born = 0;
-    /// Grows with each report of one process.
+    /// Increases with each report of one process.
     std::uint64_t sequence = 0;
     std::uint32_t slots = 1;
     bool isDraining = false;
@@ -78,18 +78,18 @@
 };
 
 struct OpenGateOptions {
-    /// An upstream that says nothing for longer takes no new flow, in milliseconds. Below the time after which its address
-    /// may belong to another service, above a heartbeat.
+    /// An upstream that sends no report for longer gets no new flow, in milliseconds. Shorter than the time after which its
+    /// address may belong to another service, longer than a heartbeat interval.
     Millis reportLimit = 1900;
-    /// Work that may run or wait at an upstream for each of its slots before openings wait at the agent instead: one round
-    /// runs, and the next is at hand when a slot gets free, so that none stands idle for the way to the caller and back.
+    /// Requests per slot that may run or wait at the upstream before openings wait at the agent instead. With two, the next
+    /// request is already there when a slot becomes free, so that no slot is idle for a round trip to the caller.
     double workPerSlot = 2.0;
-    /// The window in which a cold upstream's openings are counted, in milliseconds. A second, and room for an opening that
-    /// is on its way to the upstream while the window slides.
+    /// The window in which a cold upstream's openings are counted, in milliseconds. A second plus a margin for an opening
+    /// that is still on its way to the upstream.
     Millis coldWindow = 1150;
 };
 
-/// What an agent knows when it decides on opening packets.
+/// An agent's state for deciding whether its upstream gets an opening packet.
 struct OpenGate {
     OpenGateOptions options;
     std::optional<UpstreamReport> upstream;
@@ -102,28 +102,28 @@
     bool isViewInDoubt = false;
 };
 
-/// What is known of one opening packet and of the upstream's load.
+/// One opening packet and the upstream's load when it arrives.
 struct OpenAttempt {
     PacketEndpoint address;
-    /// The configuration by which the balancer chose this agent's service.
+    /// Version of the configuration by which the balancer chose this agent's service.
     ConfigVersion balancerVersion = 0;
     std::uint32_t openFlows = 0;
     std::uint32_t atWork = 0;
-    /// The balancer would rather try another agent than have the opening wait.
+    /// The balancer prefers to try another agent over queueing the opening here.
     bool needsFreeSlot = false;
 };
 
-/// Whether the upstream may get this opening packet now. Counts it when it may.
+/// Decides whether the upstream gets this opening packet now. An admitted opening counts towards the cold rate.
 OpenRefusal decideOpen(OpenGate&, const RouteTable&, const OutageView&, const OpenAttempt&, Millis now);
 
-/// What a report changed.
+/// The effect of a report on the agent's state.
 enum class ReportNews : std::uint8_t {
-    /// From a process that another one has replaced, or older than one already heard.
+    /// From a process that has been replaced, or older than the last report.
     Stale,
     Nothing,
-    /// State, service or slots differ.
+    /// Draining state, service or slots differ.
     Changed,
-    /// A new process speaks for the upstream; the flows of the one before are gone.
+    /// A new process reports for the upstream; the flows of the previous one are lost.
     NewProcess,
 };
 
@@ -132,17 +132,18 @@
     static constexpr std::array<std::string_view, 4> names { "stale", "nothing", "changed", "newProcess" };
 };
 
-/// Takes a heartbeat of the upstream.
+/// Applies a heartbeat of the upstream.
 ReportNews takeReport(OpenGate&, const UpstreamReport&, Millis now);
 
-/// The upstream says that it is gone. Only the process that is known can say so of itself.
+/// Applies the upstream's notice that it shuts down. Returns false, without effect, when `id` is not that of the known
+/// process.
 bool takeFarewell(OpenGate&, std::string_view id);
 
-/// Whether the upstream takes new flows as far as its own reports say.
+/// Whether the upstream accepts new flows, judged by its reports alone.
 bool isServing(const OpenGate&, Millis now);
 
-/// The upstream may have become cold without saying so yet, as when its data centre comes back: it counts as cold for the
-/// whole warm-up, until a report says how long it really is.
+/// Treats the upstream as cold for the whole warm-up time until a report says how long it really stays cold. Used when it
+/// may have become cold without having reported it, as when its data centre returns to service.
 void assumeCold(OpenGate&, const RouteTable&, Millis now);
 
 }
--- a/src/libdecision/openingschedule.h
+++ b/src/libdecision/openingschedule.h
@@ -4,19 +4,20 @@
 
 namespace kingcuptrail {
 
-/// When callers of datagram flows send copies of an opening packet and when they give the flow up, in milliseconds since
-/// they sent it first. Part of the protocol of flows.
+/// When callers of datagram flows resend an opening packet and when they give up the flow, in milliseconds since they first
+/// sent it. Part of the flow protocol.
 struct OpeningSchedule {
     Millis firstCopy = 200;
     Millis secondCopy = 600;
     Millis giveUp = 1400;
 };
 
-/// How long before its caller gives an opening up it gets its final answer, in milliseconds, so that the answer still finds
-/// the caller there.
+/// The final answer to an opening is sent this long before its caller gives up, in milliseconds, so that it still reaches
+/// the caller.
 inline constexpr Millis openingAnswerMargin = 100;
 
-/// How long ago the caller sent the first packet of an opening, at least, when this one is its copy number `copies`.
+/// Minimum time since the caller sent the first packet of an opening when this one is its copy number `copies`, in
+/// milliseconds.
 constexpr Millis leastAgeOf(std::uint32_t copies, const OpeningSchedule& schedule = {})
 {
     if (copies == 0)
@@ -24,7 +25,7 @@
     return copies == 1 ? schedule.firstCopy : schedule.secondCopy;
 }
 
-/// For how long an opening that has just been sent for the first time may wait for its answer.
+/// How long an opening that was just sent for the first time may wait for its answer, in milliseconds.
 constexpr Millis longestOpeningWait(const OpeningSchedule& schedule = {})
 {
     return schedule.giveUp - openingAnswerMargin;
--- a/src/libdecision/packet.h
+++ b/src/libdecision/packet.h
@@ -14,14 +14,14 @@
     bool operator==(const PacketEndpoint&) const = default;
 };
 
-/// The endpoint as one number, which orders endpoints.
+/// The endpoint as one number: address << 16 | port. Used to order endpoints.
 inline ServiceAddress toServiceAddress(const PacketEndpoint& endpoint)
 {
     constexpr unsigned portBits = 16;
     return ServiceAddress { endpoint.address } << portBits | endpoint.port;
 }
 
-/// Names a flow of datagrams by its two ends. Nobody else's flow can have the same ends while it is open.
+/// Identifies a flow of datagrams by its two endpoints. No other flow has the same endpoints while it is open.
 struct FlowKey {
     PacketEndpoint caller;
     PacketEndpoint service;
@@ -33,36 +33,37 @@
 std::string addressText(std::uint32_t address);
 /// "10.0.0.1:80".
 std::string toString(const PacketEndpoint& endpoint);
-/// "10.0.0.1:80>10.0.0.2:443", caller first; the id of a flow in logs.
+/// "10.0.0.1:80>10.0.0.2:443", caller first; the id of a flow in log events.
 std::string toString(const FlowKey& flow);
 
-/// A number that differs for different flows, the same in every process. Ranks choices for a flow.
+/// A hash of the flow that is equal in every process. Used to spread flows over agents and services.
 std::uint64_t flowHash(const FlowKey& flow);
 
 struct PacketFlags {
-    /// Opens a flow, or answers that it may be opened when `acknowledges` is set too.
+    /// Opens a flow; together with `acknowledges`, it is the upstream's answer to an opening packet.
     bool opens = false;
     bool acknowledges = false;
     /// The sender's last packet with data.
     bool ends = false;
     bool resets = false;
-    /// An upstream handed the packet back: it does not hold the flow or cannot take it.
+    /// An upstream returned the packet because it does not hold the flow or cannot accept it.
     bool isReturned = false;
 
     bool operator==(const PacketFlags&) const = default;
 };
 
-/// What the system reads of a packet. The data is the two ends' own.
+/// The header fields of a packet. Balancers and agents don't read the data.
 struct PacketHead {
     PacketEndpoint source;
     PacketEndpoint destination;
     PacketFlags flags;
-    /// Position of the packet's first byte in its sender's stream.
+    /// Sequence number of the packet's first byte in its sender's stream.
     std::uint32_t sequence = 0;
-    /// Next byte that the sender expects from the other end; of a caller's opening packet, the number of its copy.
+    /// Sequence number of the next byte that the sender expects from the other end; in a caller's opening packet, the
+    /// number of its copy.
     std::uint32_t acknowledged = 0;
     std::uint16_t dataLength = 0;
-    /// Ours to write while the packet is in our hands; an upstream that hands a packet back leaves it as it was.
+    /// May be set by balancers and agents; an upstream that returns a packet leaves it unchanged.
     std::uint32_t mark = 0;
 };
 
@@ -78,7 +79,7 @@
     return { .caller = head.destination, .service = head.source };
 }
 
-/// Whether a caller's packet asks for a new flow.
+/// Whether a caller's packet opens a new flow.
 inline bool isOpening(const PacketHead& head)
 {
     return head.flags.opens && !head.flags.acknowledges;
--- a/src/libdecision/pausewatch.cpp
+++ b/src/libdecision/pausewatch.cpp
@@ -2,9 +2,9 @@
 
 namespace kingcuptrail {
 
-// Failure: a process is stopped, its data centre is taken out meanwhile, and when it goes on it reads the packets that
-// waited on its links before the news that waited behind them: an upstream of a data centre that is out gets work, or a
-// balancer sends to one. So after a pause it first reads what there is, and drops packets; their senders send again.
+// If a process is paused while its data centre is taken out of service, it then reads the packets queued on its links
+// before the state change queued behind them. An upstream of that data centre would get work, or a balancer would send work
+// there. So after a pause the process reads its links and drops the packets; their senders resend them.
 void noteRunning(PauseWatch& watch, const PauseOptions& options, Millis now)
 {
     const bool wasPaused = watch.lastRun && now - *watch.lastRun > options.longestGap;
--- a/src/libdecision/pausewatch.h
+++ b/src/libdecision/pausewatch.h
@@ -7,26 +7,26 @@
 namespace kingcuptrail {
 
 struct PauseOptions {
-    /// A process that has not run for longer than this was paused, in milliseconds. Several of its timer's intervals, and
-    /// less than the silence after which peers give its links up.
+    /// A process that did not run for longer than this counts as paused, in milliseconds. Several intervals of its timer,
+    /// and less than the silence after which peers close its links.
     Millis longestGap = 1000;
-    /// How long packets are left alone after a pause, in milliseconds: until what waited on every link has been read, and
-    /// links that peers have given up meanwhile are made again and have told the news.
+    /// How long packets are dropped after a pause, in milliseconds. Long enough to read what is queued on every link, and
+    /// for links that peers have closed to be reconnected and to deliver the current state.
     Millis hold = 1000;
-    /// Test only: off, a pause is not noticed.
+    /// For tests only: when false, pauses are not detected.
     bool guard = true;
 };
 
-/// Tells a process that it stood still.
+/// Detects that the process was paused, for example stopped by a signal or suspended with its host.
 struct PauseWatch {
     std::optional<Millis> lastRun;
     Millis holdUntil = 0;
 };
 
-/// Notes that the process runs. To be called before each packet and at each turn of a timer.
+/// Records that the process is running. To be called before each packet and on each timer tick.
 void noteRunning(PauseWatch&, const PauseOptions&, Millis now);
 
-/// Whether packets are to be dropped, since they may be older than the news behind them.
+/// Whether packets have to be dropped, since they may be older than state changes that are still unread.
 bool holdsPackets(const PauseWatch&, Millis now);
 
 }
--- a/src/libdecision/probeplan.cpp
+++ b/src/libdecision/probeplan.cpp
@@ -13,7 +13,7 @@
         return std::ranges::find(agents, agent) != agents.end();
     }
 
-    /// How many of the agents have yet to say no.
+    /// Number of these agents that have not denied the flow yet.
     std::ptrdiff_t countOpen(const HolderSearch& search, std::span<const std::uint32_t> agents)
     {
         return std::ranges::count_if(agents, [&](std::uint32_t agent) { return contains(search.awaited, agent) || contains(search.unsure, agent); });
@@ -31,14 +31,14 @@
         return !search.awaited.empty() || std::ranges::any_of(plan.waiting, isOpen) || std::ranges::any_of(plan.probed, isOpen);
     }
 
-    /// Nothing when the data centre's agents have the packet already.
+    /// Returns nothing when the agents of the data centre already have the packet.
     std::optional<ProbeGroup> groupFor(ProbePlan& plan, const HolderSearch& search, const AgentsByCentre& asked, const std::string& dataCentre, std::vector<std::uint32_t> due)
     {
         const auto all = asked.find(dataCentre);
         const bool isLarge = all != asked.end() && all->second.size() >= plan.options.fewestForOne;
         if (!isLarge)
             return ProbeGroup { .dataCentre = dataCentre, .members = std::move(due) };
-        // Whoever has the packet brings it to everybody there, also to those that turn out to be unsure later.
+        // The agent that has the packet forwards it to all agents there, including those that turn out to be unsure later.
         if (std::ranges::find(plan.probedThroughOne, dataCentre) != plan.probedThroughOne.end())
             return std::nullopt;
         if (std::cmp_less(countOpen(search, all->second), plan.options.fewestForOne))
--- a/src/libdecision/storereaders.cpp
+++ b/src/libdecision/storereaders.cpp
@@ -21,8 +21,8 @@
 void takeBeat(StoreReaders& state, const ReaderBeat& beat, Millis now)
 {
     StoreReaders::Known& known = state.readers[beat.name];
-    // A reader that was restarted counts from the beginning. While its old number is still passed around that one holds;
-    // a lower one after that is the new process's.
+    // A restarted reader counts from the beginning. While its old, higher number is still passed on, that one holds; a
+    // lower number after that belongs to the new process.
     if (beat.beat <= known.beat && isFresh(state, known, now))
         return;
     if (beat.beat == known.beat)
--- a/src/libdecision/storereaders.h
+++ b/src/libdecision/storereaders.h
@@ -8,8 +8,8 @@
 
 namespace kingcuptrail {
 
-/// A sign of life of a process that follows the store; the number grows while what it follows is current, and once more
-/// when it follows the store no longer.
+/// A heartbeat of a process that follows the store. The number increases while the process is up to date with the store,
+/// and once more when it stops following it.
 struct ReaderBeat {
     std::string name;
     std::uint64_t beat = 0;
@@ -19,32 +19,32 @@
 };
 
 struct StoreReaderOptions {
-    /// Processes that follow the store. Each costs the store a call for each change; three of a fleet of any size are
-    /// enough for two to be lost at once.
+    /// Number of processes that follow the store. Each costs the store a call per change; three are enough for a fleet of
+    /// any size to lose two at once.
     std::size_t wanted = 3;
-    /// A reader whose sign of life did not grow for this long no longer counts, in milliseconds: news of it takes five
-    /// rounds of 250 ms to reach a hundred processes, and as many again are for lost datagrams.
+    /// A reader whose heartbeat number did not increase for this long no longer counts, in milliseconds. A heartbeat needs
+    /// five gossip rounds of 250 ms to reach a hundred processes; the other half is a margin for lost datagrams.
     Millis freshness = 2500;
-    /// A process that could be a reader waits this long for each one of lower name, in milliseconds, so that a lost reader
-    /// is not replaced by everybody.
+    /// A candidate waits this long for each candidate of lower name, in milliseconds, so that a lost reader is not replaced
+    /// by all of them.
     Millis waitPerRank = 120;
-    /// The longest such wait: within a third of the time in which a change has to be in force everywhere (3 s).
+    /// Maximum of that wait, in milliseconds. A third of the time in which a change has to be in force everywhere (3 s).
     Millis longestWait = 1000;
-    /// Processes without any view begin to read the store within this time of their start, in milliseconds.
+    /// Processes without a view spread their first read of the store over this time after their start, in milliseconds.
     std::uint64_t firstReadSpread = 20;
-    /// One that is not named as a seed leaves the first read to others for so long, for each that comes before it, in
-    /// milliseconds.
+    /// A process that is not a configured seed delays its first read by this time for each process that ranks before it and
+    /// for itself, in milliseconds.
     Millis firstReadPerRank = 20;
-    /// The longest that a small link may delay the first read, in milliseconds.
+    /// Maximum delay of the first read because of a slow link, in milliseconds.
     Millis longestLinkWait = 250;
-    /// Signs of life that one message carries.
+    /// Maximum number of heartbeats of followers, and of stopped followers, in one message.
     std::size_t beatsPassedOn = 6;
-    /// What reading the store brings to a process without any view, in bytes: a configuration of 1,200 routes.
+    /// Size of the first read of the store, in bytes: a configuration of 1,200 routes.
     double firstReadBytes = 250000;
 };
 
-/// Which processes follow the store, as one process has heard. Nobody agrees on them: each decides for itself by what it
-/// hears, and with lost news there are more for a while, which costs calls and nothing else.
+/// The processes that follow the store, as known to one process. There is no agreement on them: each process decides by the
+/// heartbeats that it receives, and when gossip is lost there are more readers for a while, which only costs calls.
 struct StoreReaders {
     struct Known {
         std::uint64_t beat = 0;
@@ -53,41 +53,40 @@
     };
     StoreReaderOptions options;
     std::map<std::string, Known> readers;
-    /// Since when too few are known; 0 while there are enough.
+    /// Since when fewer than the wanted number of readers are known; 0 while there are enough.
     Millis tooFewSince = 0;
 };
 
-/// Takes a sign of life that news brought.
+/// Records a heartbeat that was received by gossip.
 void takeBeat(StoreReaders&, const ReaderBeat&, Millis now);
 
-/// Gives this process's own sign of life.
+/// Increases this process's own heartbeat number.
 void beat(StoreReaders&, const std::string& self, Millis now);
 
-/// The signs of life to pass on: of the followers of lowest name, who stay when there are too many, and of those that have
+/// The heartbeats to pass on: of the followers of lowest name, who continue when there are too many, and of those that have
 /// stopped.
 std::vector<ReaderBeat> freshBeats(const StoreReaders&, Millis now);
 
-/// Says that this process follows the store no longer. Others need not wait until its signs of life are missed.
+/// Announces that this process no longer follows the store, so that others need not wait until its heartbeats are missed.
 void stopBeating(StoreReaders&, const std::string& self, Millis now);
 
-/// How long after its start a process without any view leaves it to others to read the store, in milliseconds.
-/// Load: everything has lost power, and callers return to hosts of which some have links of 10 Mbit/s. Harm: a small host that
-/// reads the store itself spends as much of its first seconds on the store's large text as on the same from a peer, and does
-/// so beside it. Who would take long to read waits for that long; in a fleet of nothing but small hosts that is the cost.
+/// How long a process without a view leaves reading the store to others after its start, in milliseconds. The delay grows
+/// with the time that the read takes on the process's link. After a power failure callers return at once, also to hosts on
+/// links of 10 Mbit/s. There, reading the store's large text takes as long as fetching the same view from a peer, and would
+/// compete with it. In a fleet of only such hosts the delay is lost time.
 Millis firstReadDelay(const StoreReaderOptions&, std::uint64_t id, double linkMegabits);
 
-/// How much longer a process without any view leaves the first read to others when `rank` processes that could read come
-/// before it, in milliseconds. Load: everything has lost power or was killed, and nobody has a view. Harm: each balancer reads
-/// the whole store, just when it has come back, and announces itself as one who follows it, so that every message of news
-/// names all of them.
+/// The additional delay of the first read when `rank` candidates come before this process, in milliseconds. After a power
+/// failure or a restart of all processes nobody has a view. Without this delay each balancer would read the whole store
+/// just when it has come back and announce itself as a reader, and every gossip message would list all of them.
 Millis firstReadTurn(const StoreReaderOptions&, std::size_t rank, bool isSeed);
 
-/// Whether a process without any view reads the store, so long after its start and with this delay of its own, in
-/// milliseconds. While a peer hands its view over the store is left alone.
+/// Whether a process without a view reads the store now. `sinceStart` is the time since its start and `delay` its own
+/// delay, in milliseconds. While a peer transfers its view, the read is postponed to `longestWait`.
 bool isFirstReadDue(const StoreReaderOptions&, Millis sinceStart, Millis delay, bool isPeerTelling);
 
-/// Whether `self` should follow the store: while it does, unless enough others of lower name do; while it does not, when too
-/// few have been heard of for as long as its rank among the candidates says.
+/// Whether `self` should follow the store. A reader continues unless enough others of lower name follow it. Any other
+/// process starts when there have been too few readers for as long as its rank among the candidates requires.
 bool shouldRead(StoreReaders&, const std::string& self, bool isReading, std::size_t rank, Millis now);
 
 }
--- a/src/libdecision/upstreamhealth.cpp
+++ b/src/libdecision/upstreamhealth.cpp
@@ -26,7 +26,7 @@
 bool noteBrokenOff(UpstreamHealth& health, Millis now)
 {
     ++health.failures;
-    // What was under way when it failed says nothing new.
+    // Requests in progress when it failed give no new information.
     if (health.isFailing) {
         health.failedAt = now;
         return false;
@@ -65,7 +65,7 @@
 
 void noteOpening(UpstreamHealth& health, Millis now)
 {
-    // Copies of a trial's opening packet are no further trials.
+    // Copies of a trial's opening packet don't count as further trials.
     if (!health.isFailing || now < health.nextTrialAt)
         return;
     health.trialInterval = std::min(health.trialInterval * 2, health.options.longestTrial);
--- a/src/libdecision/viewfetching.h
+++ b/src/libdecision/viewfetching.h
@@ -8,20 +8,21 @@
 namespace kingcuptrail {
 
 struct ViewFetchingOptions {
-    /// A configuration is fetched at most this often, in milliseconds: several peers name the same new version. Below the
-    /// time within which a process has to follow a version whose effect was seen.
+    /// Minimum time between two fetches of a configuration, in milliseconds, since several peers announce the same new
+    /// version. Shorter than the time within which a process must follow a version that has taken effect elsewhere.
     Millis routesInterval = 100;
-    /// A whole directory is fetched at most this often, in milliseconds, and soon after the process's start more often.
+    /// Minimum time between two fetches of the whole directory, in milliseconds. `firstDirectoryInterval` applies soon
+    /// after the process's start.
     Millis directoryInterval = 1000;
     Millis firstDirectoryInterval = 150;
-    /// For each entry of the directory the interval is at least so long, in milliseconds, so that the bytes a second do not
-    /// grow with the fleet.
+    /// The interval is at least this long for each entry of the directory, in milliseconds, so that the bytes per second
+    /// don't grow with the fleet.
     Millis intervalPerEntry = 10;
-    /// For so long after its start a process is taken to know little, in milliseconds.
+    /// How long after its start a process uses the shorter interval, in milliseconds.
     Millis learningTime = 3000;
 };
 
-/// When a process last fetched parts of its view from a peer.
+/// Limits how often a process fetches parts of its view from peers.
 struct ViewFetching {
     ViewFetchingOptions options;
     Millis startedAt = 0;
@@ -29,11 +30,11 @@
     std::optional<Millis> directoryFetchedAt;
 };
 
-/// Whether to fetch the configuration from a peer that has version `offered`, and notes it when so. A process without any
-/// configuration does not wait for an interval to pass, since callers wait for it; it fetches the directory as well.
+/// Whether to fetch the configuration from a peer that has version `offered`; if so, records the fetch. A process without a
+/// configuration does not wait for the interval, since callers wait for it, and fetches the directory together with it.
 bool beginRoutesFetch(ViewFetching&, ConfigVersion own, ConfigVersion offered, Millis now);
 
-/// Whether to fetch the directory, of which `entries` are known here, and notes it when so.
+/// Whether to fetch the directory, which has `entries` entries here; if so, records the fetch.
 bool beginDirectoryFetch(ViewFetching&, std::size_t entries, Millis now);
 
 }
