--- a/tests/packets/packetfixtures.h
+++ b/tests/packets/packetfixtures.h
@@ -5,7 +5,7 @@
 
 namespace kingcuptrail {
 
-/// The ends of a flow from caller number `caller` to the tests' one service address.
+/// The key of a flow from caller number `caller` to the one service address that the tests use.
 inline FlowKey flowOf(std::uint16_t caller)
 {
     return { .caller = { .address = 0x64400007, .port = caller }, .service = { .address = 0xc6120001, .port = 443 } };
@@ -16,7 +16,7 @@
     return { .flags = { .opens = true }, .sequence = 100 };
 }
 
-/// A caller's packet with `dataLength` bytes that acknowledges up to `acknowledged`.
+/// A caller's packet with `dataLength` bytes that acknowledges `acknowledged`.
 inline PacketHead callerPacket(std::uint32_t acknowledged, std::uint16_t dataLength = 0)
 {
     return { .flags = { .acknowledges = true }, .sequence = 101, .acknowledged = acknowledged, .dataLength = dataLength };
@@ -32,7 +32,7 @@
     return { .flags = { .acknowledges = true }, .sequence = 501, .acknowledged = 200, .dataLength = dataLength };
 }
 
-/// A flow that its caller has opened at this agent's upstream.
+/// Opens a flow between its caller and this agent's upstream.
 inline void openFlow(AgentFlows& table, const FlowKey& flow, Millis now)
 {
     beginFlow(table, flow, now);
--- a/tests/packets/testadmissionqueue.cpp
+++ b/tests/packets/testadmissionqueue.cpp
@@ -6,9 +6,9 @@
 
 using namespace kingcuptrail;
 
-/// The pattern: after an outage of two seconds everybody who still waits returns within a tenth of a second, and new
-/// requests go on coming at half of what the upstreams can do. Slots, work and targets are those of a service with 7
-/// upstreams of 6 slots at 64 ms a request (cold), 340 new requests a second and a latency target of 200 ms.
+/// Load after an outage of two seconds: all callers that still wait return within a tenth of a second, and new requests
+/// arrive at half of the upstreams' capacity. Modelled on a service with 7 cold upstreams of 6 slots that take 64 ms for a
+/// request, 340 new requests a second and a latency target of 200 ms.
 class TestAdmissionQueue : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(TestAdmissionQueue);
     CPPUNIT_TEST(ordersByTimeLeftAndUrgency);
@@ -56,11 +56,12 @@
         CPPUNIT_ASSERT(takeCopy(queue, flowOf(1), 200));
         CPPUNIT_ASSERT(!takeCopy(queue, flowOf(3), 200));
         CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, queue.waiting.size());
-        // Its caller was heard of later than the other's.
+        // A copy from its caller arrived later than the other caller's packet.
         CPPUNIT_ASSERT_EQUAL(std::uint16_t { 1 }, takeNext(queue, 400)->flow.caller.port);
     }
 
-    // Guards against a caller's last copy that is served before a first packet, though its answer will be late.
+    // Guards against admitting a caller's last copy before another caller's first packet: the copy's caller gives up
+    // sooner, so its answer would be late.
     void copyIsAsOldAsItsNumberTells()
     {
         CPPUNIT_ASSERT_EQUAL(Millis { 0 }, leastAgeOf(0));
@@ -73,7 +74,7 @@
         enqueue(queue, first, 5);
         enqueue(queue, copy, 5);
         CPPUNIT_ASSERT_EQUAL(std::uint16_t { 1 }, takeNext(queue, 1060)->flow.caller.port);
-        // Its caller gives it up 600 ms sooner than one that has just begun.
+        // The copy's caller gives up 600 ms before one that has just sent its first packet.
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, takeExpired(queue, 1050 + queue.options.longestWait - 600).size());
     }
 
@@ -83,7 +84,7 @@
         int answered = 0;
     };
 
-    /// Takes the next opening by the queue's order, or by that of arrival.
+    /// Takes the next opening in the queue's order, or the oldest one.
     static std::optional<WaitingOpening> takeFrom(AdmissionQueue& queue, bool newestFirst, Millis now)
     {
         if (newestFirst || queue.waiting.empty())
@@ -93,7 +94,7 @@
         return first;
     }
 
-    /// Works the pattern off with one queue for all upstreams.
+    /// Simulates the load with one queue for all upstreams.
     static Outcome workOff(bool newestFirst)
     {
         constexpr Millis length = 3000;
@@ -127,8 +128,8 @@
         return outcome;
     }
 
-    // Callers come back after an outage. Worked off in the order of arrival, each new request waits behind the backlog
-    // and is late as well, for more than a second after everything is up again.
+    // Guards against late answers to new requests after an outage. Served in order of arrival, each new request waits
+    // behind the backlog, for more than a second after everything is up again.
     void backlogDoesNotMakeNewRequestsLate()
     {
         const Outcome inOrder = workOff(false);
--- a/tests/packets/testagentflows.cpp
+++ b/tests/packets/testagentflows.cpp
@@ -40,13 +40,13 @@
         lastBack.flags.ends = true;
         takeUpstreamPacket(table, flow, lastBack, 21);
         CPPUNIT_ASSERT_EQUAL(0U, table.open);
-        // The ends' late packets still find the flow.
+        // Late packets of both ends still find the flow.
         CPPUNIT_ASSERT(takeCallerPacket(table, flow, last, 30) == CallerPacketAction::Deliver);
     }
 
-    // A caller's copy of its opening packet goes over another balancer and is admitted at a second upstream. The caller
-    // takes the answer of the first. Its request comes to the second agent: delivered there, the upstream hands every
-    // packet back and the caller sees its flow stall.
+    // A copy of the opening packet is admitted at a second upstream, but the caller accepts the answer of the first. Guards
+    // against delivering the caller's request at the second agent: its upstream would return every packet and the flow
+    // would stall.
     void answerThatTheCallerDidNotTakeOwnsNothing()
     {
         AgentFlows table = completeTable();
@@ -60,8 +60,8 @@
         CPPUNIT_ASSERT(takeCallerPacket(table, flow, callerPacket(501), 14) == CallerPacketAction::Deliver);
     }
 
-    // An agent is killed and comes back beside an upstream that lives on with all its flows. Said to be unknown, they
-    // would be reset although their upstream holds them; so the upstream itself is asked, by the packet.
+    // An agent is restarted while its upstream keeps running with all its flows. Guards against denying these flows, which
+    // would reset them; the packet is delivered to find out whether the upstream holds the flow.
     void restartedAgentAsksItsUpstream()
     {
         AgentFlows table;
@@ -74,9 +74,9 @@
         CPPUNIT_ASSERT(answerHolderQuestion(table, flow, 750, 13) == HolderAnswer::Held);
     }
 
-    // All balancers and agents are killed. An agent has learnt a flow again from one packet; a balancer that does not know it
-    // yet sends the next one to all unsure agents. The holder delivered it and said nothing, so that for twenty seconds each
-    // packet of the flow went to sixty agents.
+    // After a restart of all balancers and agents, an agent has learnt a flow from one packet, and a balancer that does not
+    // know the flow sends the next one to all unsure agents. Guards against a holder that delivers it without an answer:
+    // each packet of the flow then went to sixty agents for twenty seconds.
     void probeOfAKnownFlowIsAnswered()
     {
         AgentFlows table;
@@ -88,7 +88,7 @@
         CPPUNIT_ASSERT(answerToProbe(takeCallerPacket(table, flowOf(4), callerPacket(640, 10), 40)) == HolderAnswer::NotHeld);
     }
 
-    // The packet that was delivered to learn is kept by the upstream without a word: it holds the flow.
+    // A packet that the upstream accepts without returning it shows that the upstream holds the flow.
     void keptPacketsTeachTheirFlow()
     {
         AgentFlows table;
@@ -107,8 +107,8 @@
         CPPUNIT_ASSERT(answerHolderQuestion(table, flowOf(4), 1, 20000) == HolderAnswer::NotHeld);
     }
 
-    // An upstream's process ends and a new one reports. Callers with open flows would send into nothing until their
-    // deadline: all of their flows are certainly lost, and each reset carries what its caller last acknowledged.
+    // When a new upstream process reports, all flows of the previous one are lost. Guards against callers that wait for
+    // their deadline: each open flow is reset with the caller's last acknowledgement.
     void newUpstreamProcessLosesEveryFlow()
     {
         AgentFlows table;
@@ -122,9 +122,9 @@
         CPPUNIT_ASSERT(answerHolderQuestion(table, flowOf(5), 640, 20) == HolderAnswer::NotHeld);
     }
 
-    // A balancer stands still with a caller's opening packet in its socket. The caller's copy goes over another balancer, and
-    // its flow opens at another upstream. Two seconds later the first balancer goes on and brings the old packet to this
-    // agent, whose upstream is replaced then. The agent reset the caller's flow, which the other upstream holds.
+    // A balancer is paused with an opening packet in its socket, and the caller's copy opens the flow at another upstream
+    // through another balancer. Two seconds later the paused balancer resumes and brings the old packet to this agent,
+    // whose upstream is then replaced. Guards against a reset of the flow, which the other upstream holds.
     void uncompletedOpeningsAreNotReset()
     {
         AgentFlows table;
@@ -145,9 +145,9 @@
         CPPUNIT_ASSERT_EQUAL(0U, table.atWork);
     }
 
-    // Every agent is killed and back in half a second, its upstream still at work. Callers send their requests again, while
-    // the answers are under way already. Counted as new work that is never answered, they kept agents busy for 1.5 s,
-    // and openings expired beside idle upstreams.
+    // After a restart of all agents within half a second, callers resend requests whose answers are already under way.
+    // Guards against counting them as new work that is never answered: agents were then busy for 1.5 s, and openings
+    // expired beside idle upstreams.
     void resentRequestsAreNoNewWork()
     {
         AgentFlows table;
@@ -163,9 +163,9 @@
         CPPUNIT_ASSERT_EQUAL(1U, table.atWork);
     }
 
-    // After an outage callers give up while their openings wait. Upstreams resend their answers to callers that have left,
-    // for ten seconds each. Counted as work for as long, such openings keep the agent busy, others wait and leave in
-    // turn: half of all requests failed for the rest of the day, though every upstream stood idle.
+    // After an outage callers give up while their openings wait, and upstreams resend their answers for ten seconds each.
+    // Guards against counting such openings as work for that long: other openings then wait until their callers leave too,
+    // and half of all requests failed although every upstream was idle.
     void abandonedOpeningsDoNotKeepSlots()
     {
         AgentFlows table = completeTable();
--- a/tests/packets/testbalancing.cpp
+++ b/tests/packets/testbalancing.cpp
@@ -60,8 +60,8 @@
             CPPUNIT_ASSERT(flows > 850 && flows < 1150);
     }
 
-    // A balancer that does not know a flow asks. One agent is cut off with the flow still held behind it, and the others
-    // say that they do not hold it. A reset now would end a flow that its upstream holds.
+    // A balancer searches for a flow whose agent is cut off, and the other agents deny the flow. Guards against a reset of
+    // a flow that its upstream still holds.
     void flowIsLostOnlyWhenEverybodySaysSo()
     {
         HolderSearch search = beginSearch({ 1, 2, 3 }, 0);
@@ -74,9 +74,8 @@
         CPPUNIT_ASSERT(nobody.state == SearchState::Asking);
     }
 
-    // A balancer is restarted. A packet of a flow that its upstream holds comes 12 ms later, when the balancer has heard of
-    // one agent. That one does not hold the flow; by the time it has said so the list of agents is complete and confirmed,
-    // and the caller's flow was reset although the holder had never been asked.
+    // A restarted balancer gets a packet after 12 ms, when it knows one agent, which denies the flow. Guards against a
+    // reset when the list of agents is complete by the time of that answer although the holder was never asked.
     void agentsHeardOfDuringTheSearchAreAskedToo()
     {
         HolderSearch search = beginSearch({ 1 }, 0);
@@ -97,8 +96,8 @@
         CPPUNIT_ASSERT(takeAnswer(search, 1, HolderAnswer::NotHeld) == SearchState::Found);
     }
 
-    // Everybody that was asked has said no, and the search waits for a peer's word that nobody is missing. The holder, an
-    // agent that the balancer had given up, is back and says yes: the flow is not lost.
+    // All agents that were asked have denied the flow, and the search waits for a peer to confirm the list of agents.
+    // Guards against ignoring the holder, which had been presumed gone and answers now.
     void lateYesCounts()
     {
         HolderSearch search = beginSearch({ 1, 2 }, 0);
@@ -109,9 +108,9 @@
         CPPUNIT_ASSERT_EQUAL(3U, search.holder);
     }
 
-    // Hosts are taken away just when all processes have been killed. A neighbour that is unsure itself answers for them, and
-    // they get the packets to find out, but never say anything. They stood as unsure for good: nobody noticed the silence,
-    // and each search went on waiting for them.
+    // Hosts are removed while all processes are being restarted. A neighbour that is unsure answers for their agents, and
+    // these are sent the packet but never answer. Guards against treating them as unsure for good: their silence went
+    // unnoticed, and each search waited for them.
     void unsureAgentsThatStaySilentAreMissing()
     {
         HolderSearch search = beginSearch({ 1, 2, 3 }, 0);
@@ -134,8 +133,8 @@
         CPPUNIT_ASSERT(!findByAddress(directory, 2));
     }
 
-    // An agent takes flows of one service, is given to another, drains and comes back. A balancer that still listed it under
-    // the first service would bring openings there that can only be refused, and callers would wait for the round trip.
+    // An agent changes its service, drains and comes back. Guards against a balancer that lists it under the old service:
+    // openings sent there can only be refused, which costs callers a round trip.
     void agentsAreListedUnderTheirService()
     {
         Directory directory;
@@ -154,8 +153,9 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, readyAgentsOf(directory, "intake").size());
     }
 
-    // The store turns a leaving agent away until its process has to end. Its peers have heard that it is gone, but its
-    // announcement stays, and whoever starts later believes in it. One that was written anew since is not left behind.
+    // The store rejects a leaving agent's requests until its process has to end, so its announcement stays although its
+    // peers know that it is gone. Guards against processes that start later and rely on it. An announcement that was
+    // written again since then counts.
     void whatALeaverCouldNotWithdrawIsLeftBehind()
     {
         Directory directory;
@@ -182,8 +182,8 @@
         CPPUNIT_ASSERT(!serviceForFlow(table, { .caller = {}, .service = { .address = 1, .port = 1 } }));
     }
 
-    // After a loss of power processes learn each other piece by piece. Who has to be asked for a flow is the same in two of them
-    // long before their directories are: balancers and the order of announcements do not count, and neither does who is gone.
+    // After a power failure processes learn of each other step by step. The agents to ask about a flow are the same in two
+    // directories long before these are equal: balancers, epochs and agents that are gone don't count.
     void agentsAreAgreedOnWhileTheRestDiffers()
     {
         const PeerEntry agent { .name = "agent-1", .address = 1, .dataCentre = "north", .epoch = 5 };
--- a/tests/packets/testbusyagents.cpp
+++ b/tests/packets/testbusyagents.cpp
@@ -4,7 +4,7 @@
 
 using namespace kingcuptrail;
 
-/// The pattern: every agent of a service is full, and openings go on coming.
+/// All agents of a service are full, and openings keep arriving.
 class TestBusyAgents : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(TestBusyAgents);
     CPPUNIT_TEST(openingThatNobodyTakesCostsFewMessages);
@@ -12,7 +12,7 @@
     CPPUNIT_TEST(lateAnswerBetweenTwoRoundsAsksAgain);
     CPPUNIT_TEST_SUITE_END();
 
-    // Guards against a storm of offers: each opening offered to all agents, one after the other.
+    // Guards against offering each opening to all agents, one after the other.
     void openingThatNobodyTakesCostsFewMessages()
     {
         for (const double busyShare : { 0.0, 1.0 }) {
@@ -44,7 +44,7 @@
         CPPUNIT_ASSERT(needsFreeSlot(state, 0));
     }
 
-    // Guards against a wait at the least loaded of no agents: the answer belongs to a round that is over.
+    // Guards against choosing the least loaded of no agents when an answer arrives after its round has ended.
     void lateAnswerBetweenTwoRoundsAsksAgain()
     {
         CPPUNIT_ASSERT(stepAfterBusy({}, 2, 0) == BusyStep::AskNext);
--- a/tests/packets/testdirectoryagreement.cpp
+++ b/tests/packets/testdirectoryagreement.cpp
@@ -12,10 +12,10 @@
     CPPUNIT_TEST(pauseEndsAgreement);
     CPPUNIT_TEST_SUITE_END();
 
-    // A caller's request was cut a quarter of a second after its flow had opened, on a day with releases and restarts. A new
-    // agent's announcement reached most processes in 20 ms and missed one balancer; the flow opened through another one, and
-    // its next packet came to this one. All agents that it knew said no. A peer that had not heard either had named the same
-    // directory a second ago; peers that had heard named another one since, and that did not count.
+    // A new agent's announcement reaches most processes within 20 ms but misses one balancer. A flow that another balancer
+    // opened there has its next packet arrive at this one, and all agents that it knows deny the flow. Guards against a
+    // reset a quarter of a second after the flow opened: a peer that lacked the announcement too had sent an equal digest a
+    // second before, and the different digests that arrived since must cancel it.
     void newAgentThatPeersKnowEndsAgreement()
     {
         DirectoryAgreement agreement;
@@ -42,7 +42,7 @@
         CPPUNIT_ASSERT(!isAgreed(agreement, 1000 + agreement.options.wordTime));
     }
 
-    // A balancer's host stands still and wakes up: what it was told before says nothing of agents that began meanwhile.
+    // A balancer's host is suspended and resumes. Digests from before say nothing about agents that started meanwhile.
     void pauseEndsAgreement()
     {
         DirectoryAgreement agreement;
--- a/tests/packets/testdirectorydifference.cpp
+++ b/tests/packets/testdirectorydifference.cpp
@@ -43,8 +43,8 @@
         }
     }
 
-    // Guards against repairs that grow with the fleet: fetches of whole directories filled small links, and made rarer for that
-    // they left processes apart for seconds.
+    // Guards against repairs whose cost grows with the fleet: fetches of whole directories filled slow links, and when they
+    // were made less frequent the directories differed for seconds.
     void oneNewAgentCostsNoWholeDirectory()
     {
         for (const std::size_t size : { 20U, 300U, 5200U }) {
@@ -89,7 +89,7 @@
 
         bool isLost() { return random() % 100 == 0; }
 
-        /// What one comparison sends back; a large difference is fetched whole.
+        /// Applies the answer to one comparison; a large difference is fetched as a whole directory.
         void answer(Directory& receiver, const Directory& sender)
         {
             const DirectoryDifference difference = differenceTo(sender, partDigestsOf(receiver));
@@ -115,8 +115,9 @@
         }
     };
 
-    // Guards against directories that stay apart after a loss of power of everything: 300 processes start at once, each knows
-    // itself and three seeds, three hosts stay away and are known to a few from the store, one of a hundred messages is lost.
+    // Guards against directories that stay different after a power failure: 300 processes start at once and each knows
+    // itself and three seeds, three hosts don't come back and are known to a few processes from the store, and one of a
+    // hundred messages is lost.
     void startOfAllHostsIsAgreedOnSoon()
     {
         constexpr std::size_t size = 300;
--- a/tests/packets/testformerflows.cpp
+++ b/tests/packets/testformerflows.cpp
@@ -30,9 +30,9 @@
             noteListening(state, now);
     }
 
-    // Every host loses power, one of them beside an upstream that was leaving. Its agent comes back and hears no upstream;
-    // the flows of all callers are gone, but this agent could not say so for 20 s, and nobody was told. Two refused
-    // connections tell that there is nobody who could hold anything.
+    // All hosts lose power, one of them while its upstream was being stopped, so its agent starts without an upstream.
+    // Guards against an agent that cannot deny flows for 20 s, during which no caller learns that its flow is lost. Two
+    // refused connections show that there is no upstream.
     void hostWithoutUpstreamSaysNo()
     {
         FormerFlows state = former();
@@ -51,8 +51,8 @@
         CPPUNIT_ASSERT(!noteListening(state, 1410));
     }
 
-    // An agent is restarted beside an upstream that lives and whose heartbeat is due later. It accepts a connection: its
-    // flows must not be taken for lost.
+    // An agent is restarted beside a running upstream whose next heartbeat is due later. The upstream accepts a connection,
+    // so its flows must not count as lost.
     void upstreamThatListensMayHoldFlows()
     {
         for (const ConnectionOutcome outcome : { ConnectionOutcome::Accepted, ConnectionOutcome::Unclear }) {
@@ -66,8 +66,8 @@
         }
     }
 
-    // An agent's host is suspended right after its start, and wakes five seconds later with reports in its socket that it
-    // has not read yet. The time in which it stood still is no silence of its upstream.
+    // An agent's host is suspended right after the agent's start and resumes five seconds later with unread reports in the
+    // agent's socket. The time of the pause must not count as silence of the upstream.
     void silenceOfARunningProcessCounts()
     {
         FormerFlows state = former();
@@ -78,8 +78,8 @@
         CPPUNIT_ASSERT(noteListening(state, 10000));
     }
 
-    // Upstream and agent start together, and the upstream's first report comes before the agent listens. The second one
-    // arrives 40 ms after its birth: there was no process in between to which a flow could have been opened.
+    // Upstream and agent start together, and the upstream's first report is sent before the agent listens. The second one
+    // arrives 40 ms after the upstream's start, so no earlier agent process can have opened a flow to it.
     void secondReportOfANewUpstreamIsEnough()
     {
         for (const UpstreamReport& report : { reportOf(startedAt - 20, 2), reportOf(startedAt + 900, 3), reportOf(startedAt - 90000, 1) }) {
@@ -89,8 +89,8 @@
         }
     }
 
-    // The agent alone was restarted. Its upstream was born long before, or has made more reports than a new one can have: a
-    // clock that was set back between both starts makes it look new.
+    // Only the agent was restarted. Its upstream started long before, or has sent more reports than a new one can have:
+    // when the clock was set back between both starts, the start time alone makes it look new.
     void livingUpstreamMayHoldFlows()
     {
         for (const UpstreamReport& report : { reportOf(startedAt - 800, 2), reportOf(startedAt + 2000, 9) }) {
@@ -103,8 +103,8 @@
         }
     }
 
-    // All processes are killed while upstreams leave. A restarted agent hears its upstream once and then its farewell, or
-    // nothing more: it was unsure for 20 s all the same.
+    // All processes are killed while upstreams shut down. A restarted agent receives one report and then the shutdown
+    // notice, or nothing more. Guards against an agent that stays unsure for 20 s in that case.
     void upstreamThatLeavesHoldsNothing()
     {
         FormerFlows state = former();
@@ -120,7 +120,7 @@
         CPPUNIT_ASSERT(noteListening(state, 3100) && knowsEveryFlow(state));
     }
 
-    // An upstream was so slow that its agent took it for gone. It reports again and may hold what it held.
+    // An upstream was so slow that its agent considered it gone. When it reports again, it may still hold its flows.
     void reportOfALivingUpstreamTakesTheNoBack()
     {
         FormerFlows state = former();
@@ -133,7 +133,8 @@
         CPPUNIT_ASSERT(knowsEveryFlow(state));
     }
 
-    // Guards against an agent that is stopped in its first moments beside no upstream and leaves its entry behind.
+    // Guards against an agent that is stopped right after its start, beside no upstream, and leaves its directory entry
+    // behind.
     void agentThatIsStoppedMayStillLearnThatNobodyIsThere()
     {
         FormerFlows former;
--- a/tests/packets/testopengate.cpp
+++ b/tests/packets/testopengate.cpp
@@ -59,8 +59,8 @@
         CPPUNIT_ASSERT(decide(10) == OpenRefusal::UpstreamDraining);
     }
 
-    // An upstream crashes without a word. Two seconds later its address belongs to another service. An opening that is
-    // sent there after that runs at the wrong service, so openings end before.
+    // An upstream crashes without notice, and two seconds later its address belongs to another service. Openings must end
+    // before that, or they would be served by the wrong service.
     void silentUpstreamGetsNothingBeforeItsAddressIsReused()
     {
         CPPUNIT_ASSERT(decide(1900) == OpenRefusal::None);
@@ -68,8 +68,8 @@
         CPPUNIT_ASSERT(!isServing(m_gate, 1901));
     }
 
-    // A report that a partition held up arrives after its sender has crashed and a new process has reported at the same
-    // address. Taken, it would bring the dead process's state and service back.
+    // A report that was delayed by a partition arrives after its sender has crashed and a new process has reported for the
+    // same address. It must not restore the old process's state and service.
     void lateReportOfADeadProcessChangesNothing()
     {
         CPPUNIT_ASSERT(takeReport(m_gate, reportOf(2000, 1), 10) == ReportNews::NewProcess);
@@ -88,15 +88,15 @@
     {
         CPPUNIT_ASSERT(offerOutages(m_outages, { .revision = 5, .out = { "north" } }));
         CPPUNIT_ASSERT(decide(10) == OpenRefusal::DataCentreOut);
-        // Old news from a peer that has not heard of it.
+        // An outdated update from a peer that does not have revision 5 yet.
         CPPUNIT_ASSERT(!offerOutages(m_outages, { .revision = 4, .out = {} }));
         CPPUNIT_ASSERT(decide(10) == OpenRefusal::DataCentreOut);
         CPPUNIT_ASSERT(offerOutages(m_outages, { .revision = 6, .out = {} }));
         CPPUNIT_ASSERT(decide(10) == OpenRefusal::None);
     }
 
-    // A route moves to another service. Balancer and agent hear of it at different moments; the newer of the two decides,
-    // or a caller would see the new configuration and then the old one again.
+    // A route moves to another service, and balancer and agent learn of it at different times. The newer configuration of
+    // the two decides, or a caller would see the new configuration and then the old one again.
     void newerConfigurationDecides()
     {
         CPPUNIT_ASSERT(offerRoutes(m_routes, routesTo("intake", 9)));
@@ -115,8 +115,8 @@
         CPPUNIT_ASSERT(decide(10) == OpenRefusal::NoConfiguration);
     }
 
-    // A cold upstream is offered far more than it bears, for three seconds. In no span of a second may it get more than
-    // its rate, however the span lies.
+    // A cold upstream is offered far more than its rate for three seconds. In no interval of one second may more openings
+    // be admitted than the rate allows.
     void coldUpstreamGetsItsRateInAnySecond()
     {
         constexpr Millis second = 1000;
@@ -134,8 +134,8 @@
             CPPUNIT_ASSERT(admitted[index] - admitted[index - 4] > second);
     }
 
-    // Every upstream loses power at once and is back cold. No rate is configured. With a rate of the agent's own making,
-    // nearly everybody was refused for the whole warm-up of two seconds.
+    // All upstreams restart cold after a power failure and no rate is configured. Guards against a rate that the agent
+    // chooses itself, with which nearly all openings were refused for the warm-up of two seconds.
     void withoutARateAColdUpstreamIsBoundedByItsWork()
     {
         UpstreamReport report = reportOf(1000, 2);
--- a/tests/packets/testprobeplan.cpp
+++ b/tests/packets/testprobeplan.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// A search in `centres` data centres with `agents` agents each, all of them asked and unsure.
+/// A search in `centres` data centres with `agents` agents each. All agents are asked and become unsure.
 struct UnsureFleet {
     HolderSearch search;
     AgentsByCentre asked;
@@ -47,7 +47,7 @@
     std::vector<ProbeGroup> probe(bool isNearOverdue = false) { return takeProbes(plan, search, asked, isNearOverdue); }
 };
 
-/// Packets that the balancer itself sends for these probes.
+/// Number of packets that the balancer itself sends for these probes.
 std::size_t copiesOf(const std::vector<ProbeGroup>& groups)
 {
     std::size_t copies = 0;
@@ -71,10 +71,9 @@
     CPPUNIT_TEST(differenceAboutOneAgentLeavesOnlyThatOneOpen);
     CPPUNIT_TEST_SUITE_END();
 
-    // Every process is killed at once and the upstreams live on. Each caller's next packet has to find its flow among agents
-    // that know none. Copied to each agent, it was sixty times the caller's bytes on a balancer's link of 10 Mbit/s, and
-    // openings that agents had room for did not get through. However many agents there are, a search costs the balancer one
-    // copy for each data centre: three times the caller's bytes in three.
+    // All processes are restarted while the upstreams keep running, so no agent knows a flow. Guards against one copy of
+    // the packet per agent: that was sixty times the callers' bytes on a balancer's link of 10 Mbit/s, and openings did not
+    // get through although agents had capacity. A search costs one copy per data centre, whatever the number of agents.
     void copiesGrowWithDataCentresOnly()
     {
         for (const std::uint32_t agents : { 4U, 20U, 500U, 1500U }) {
@@ -89,8 +88,8 @@
         }
     }
 
-    // Most flows are held in the data centre of their caller's balancer: while agents there may hold the flow, nobody else
-    // gets a packet, so that a usual search costs one copy.
+    // Most flows are held in the data centre of their caller's balancer. While agents there may hold the flow, no other
+    // agent gets a packet, so a typical search costs one copy.
     void nearAgentsComeFirst()
     {
         UnsureFleet fleet(3, 20);
@@ -106,7 +105,8 @@
         CPPUNIT_ASSERT(fleet.probe().empty());
     }
 
-    // The word of a far data centre arrives before that of the own one, whose agents are busier at that moment.
+    // The answer for another data centre arrives before that of the balancer's own one, whose agents are busier at that
+    // moment.
     void farAgentsDoNotOvertakeNearOnes()
     {
         UnsureFleet fleet(2, 8);
@@ -116,7 +116,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("dc0"), fleet.probe().front().dataCentre);
     }
 
-    // The one agent that has the packet is stopped, or so loaded that its answer is late: the flow may be elsewhere, and its
+    // The one agent that received the packet is stopped or overloaded. The flow may be in another data centre while its
     // caller waits.
     void silentNeighbourhoodDoesNotHoldUpTheRest()
     {
@@ -129,8 +129,8 @@
         CPPUNIT_ASSERT_EQUAL(std::string("dc1"), overdue.front().dataCentre);
     }
 
-    // A flow is at another service's upstream only if its route has moved since it was opened; but without their no it is not
-    // lost for certain.
+    // An upstream of another service holds the flow only if its route has changed since it was opened, but the flow counts
+    // as lost only when the agents of that service have denied it too.
     void otherServicesComeLast()
     {
         UnsureFleet fleet(2, 2);
@@ -142,8 +142,8 @@
         CPPUNIT_ASSERT_EQUAL(std::string("dc1"), fleet.probe().front().dataCentre);
     }
 
-    // An agent does not answer for its data centre in time and each of the twenty is asked by itself; they say one after the
-    // other that they are unsure. That is no reason to copy the packet twenty times.
+    // The agent that was to answer for its data centre does not answer in time, so each of the twenty agents is asked
+    // itself, and they answer one after the other that they are unsure. Guards against twenty copies of the packet.
     void agentsUnsureOneByOneGetOnePacket()
     {
         UnsureFleet fleet(1, 20);
@@ -156,7 +156,7 @@
         CPPUNIT_ASSERT(wasProbed(fleet.plan, fleet.asked["dc0"].back()));
     }
 
-    // With three agents in a data centre a copy to each is as cheap as the detour.
+    // With three agents in a data centre a copy for each of them costs no more than forwarding.
     void fewAgentsAreProbedDirectly()
     {
         UnsureFleet fleet(1, 3);
@@ -167,8 +167,8 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t { 3 }, groups.front().members.size());
     }
 
-    // Guards against a packet that is copied to forty agents since two of them cannot say no, and against a later one of them
-    // that never gets it.
+    // Guards against a packet that is copied to forty agents because two of them have not denied the flow, and against the
+    // later one of the two never receiving it.
     void lastOpenAgentsOfALargeCentreAreProbedDirectly()
     {
         UnsureFleet fleet(1, 40);
@@ -186,8 +186,9 @@
         }
     }
 
-    // Guards against a whole data centre that is unsure since two processes differ about one of its agents: agent 5 is not
-    // known to the one that was asked, agent 6 is silent, agent 9 is known to it only, agent 4 was unsure and denies now.
+    // Guards against a whole data centre counting as unsure because two processes disagree about one of its agents. Agent 5
+    // is unknown to the one that was asked, agent 6 is silent, agent 9 is known to it only, agent 4 was unsure and denies
+    // the flow now.
     void differenceAboutOneAgentLeavesOnlyThatOneOpen()
     {
         const std::vector<std::uint32_t> members { 1, 2, 3, 4, 5, 6 };
--- a/tests/packets/testsilentagents.cpp
+++ b/tests/packets/testsilentagents.cpp
@@ -12,8 +12,8 @@
     CPPUNIT_TEST(deafBalancerGivesNobodyUp);
     CPPUNIT_TEST_SUITE_END();
 
-    // A host loses power and is never seen again; its agent announced no end. From then on every flow that is lost anywhere
-    // is asked for at this agent too, and its silence kept each search open: no caller was ever told again.
+    // A host loses power for good, and its agent never announced that it was leaving. Guards against searches for lost
+    // flows that wait for this agent for ever, so that no caller is told any more.
     void hostThatIsGoneForGoodIsGivenUp()
     {
         SilentAgents agents;
@@ -25,8 +25,8 @@
         CPPUNIT_ASSERT(!isGivenUp(agents, 8, 7000));
     }
 
-    // An agent is cut off for twelve seconds and comes back with the flows of its upstream, which lives. From its first
-    // message on no flow is lost without its word.
+    // An agent is cut off for twelve seconds and comes back with the flows of its upstream, which kept running. From its
+    // first message on, no flow counts as lost without its answer.
     void agentThatAnswersAgainSpeaksAgain()
     {
         SilentAgents agents;
@@ -38,7 +38,7 @@
         CPPUNIT_ASSERT(!isGivenUp(agents, 7, 14000));
     }
 
-    // A balancer's host stands still for a minute, with one question under way. The agent's answer waits in its socket.
+    // A balancer's host is suspended for a minute with one query open, and the agent's answer waits in its socket.
     void pauseOfTheBalancerIsNoSilence()
     {
         SilentAgents agents;
@@ -47,9 +47,9 @@
         CPPUNIT_ASSERT(!isGivenUp(agents, 7, 61000));
     }
 
-    // A small balancer drowns in callers who all return at once, and its socket overflows for ten seconds: no agent's answer
-    // gets through. When it hears again, the first answers would have spoken for all, and flows that the others hold would
-    // have been reset.
+    // A small balancer is overloaded when all callers return at once, and its socket overflows for ten seconds, so no
+    // agent's answer arrives. Guards against a search that ends with the first answers after that, which would reset flows
+    // that the other agents hold.
     void deafBalancerGivesNobodyUp()
     {
         SilentAgents agents;
--- a/tests/packets/teststorereaders.cpp
+++ b/tests/packets/teststorereaders.cpp
@@ -18,23 +18,23 @@
     CPPUNIT_TEST(storeIsLeftAloneWhileAPeerTells);
     CPPUNIT_TEST_SUITE_END();
 
-    // All hosts lose power and come back together. Balancers with links of 10 Mbit/s read a configuration of 250 KB from the
-    // store beside what their callers and peers sent them, and offered their first opening half a second after their start;
-    // one with a large link had it 16 ms after it had asked.
+    // All hosts lose power and restart together. Balancers on links of 10 Mbit/s that read a configuration of 250 KB from
+    // the store, besides the traffic of callers and peers, offered their first opening half a second after their start. On
+    // a fast link the read took 16 ms.
     void smallHostsLeaveTheFirstReadToOthers()
     {
         const StoreReaderOptions options;
         for (const std::uint64_t id : { 0U, 59U, 12345U }) {
             CPPUNIT_ASSERT(firstReadDelay(options, id, 1000) < 65);
             CPPUNIT_ASSERT(firstReadDelay(options, id, 10) >= 200);
-            // Where all are small, somebody has to read, and soon.
+            // Where all links are slow, one of the processes has to read the store, and soon.
             CPPUNIT_ASSERT(firstReadDelay(options, id, 10) < 260);
         }
         CPPUNIT_ASSERT(firstReadDelay(options, 0, 0.1) <= options.longestWait);
     }
 
-    // Guards against a store that every balancer reads just when it has come back: all start within 300 ms, and each is told
-    // of a version 150 ms after the first read of somebody, or 50 ms after its own start if that is later.
+    // Guards against every balancer reading the store just when it has come back. All start within 300 ms, and each learns
+    // of a version 150 ms after the first read of any process, or 50 ms after its own start if that is later.
     void restartOfEverythingIsReadByAFew()
     {
         const StoreReaderOptions options;
@@ -60,23 +60,24 @@
             }
             CPPUNIT_ASSERT(readers <= options.wanted + seeds);
         }
-        // Without any seed somebody reads within the time of a caller's second copy.
+        // Without any seed one process reads the store before callers send their second copy.
         CPPUNIT_ASSERT(firstReadTurn(options, 0, false) <= 100);
         CPPUNIT_ASSERT(firstReadTurn(options, 5000, false) <= options.longestWait);
     }
 
-    // Guards against a hundred listings of the store beside a hundred transfers of the same from peers.
+    // Guards against a hundred reads of the whole store in addition to a hundred transfers of the same data from peers.
     void storeIsLeftAloneWhileAPeerTells()
     {
         const StoreReaderOptions options;
         CPPUNIT_ASSERT(!isFirstReadDue(options, 199, 200, false));
         CPPUNIT_ASSERT(isFirstReadDue(options, 200, 200, false));
         CPPUNIT_ASSERT(!isFirstReadDue(options, 200, 200, true));
-        // A transfer that does not end is no reason to stay without a view.
+        // A transfer that does not finish must not leave the process without a view.
         CPPUNIT_ASSERT(isFirstReadDue(options, options.longestWait, 200, true));
     }
 
-    // Guards against messages of several kilobytes after a restart in which a hundred processes began to follow the store.
+    // Guards against gossip messages of several kilobytes after a restart in which a hundred processes began to follow the
+    // store.
     void newsNamesAFewFollowersOnly()
     {
         StoreReaders state;
@@ -101,7 +102,7 @@
         {
         }
 
-        /// One round of news in which everybody hears everybody, as after some real rounds.
+        /// One gossip round in which every process receives the messages of all others, as after several real rounds.
         void round(Millis now)
         {
             for (std::size_t reader = 0; reader < states.size(); ++reader) {
@@ -127,8 +128,9 @@
         std::vector<bool> isAlive;
     };
 
-    // The store turns all three processes that follow it away, and they notice. Told so, others follow it within a second;
-    // by missed signs of life alone it took three and a half, and a change that was accepted meanwhile was late everywhere.
+    // The store rejects the requests of all three processes that follow it. Since they announce that they stop, others
+    // follow it within a second. Detection by missed heartbeats alone took three and a half seconds, and a change accepted
+    // meanwhile was late everywhere.
     void readersThatStopAreReplacedAtOnce()
     {
         Fleet fleet(20);
@@ -143,7 +145,7 @@
         const auto isFollowed = [&fleet] { return std::any_of(fleet.isReading.begin() + 3, fleet.isReading.end(), [](bool isReading) { return isReading; }); };
         for (; now <= stoppedAt + 1000 && !isFollowed(); now += 250) {
             fleet.round(now);
-            // The store still turns them away.
+            // The store still rejects their requests.
             for (std::size_t reader = 0; reader < 3; ++reader)
                 fleet.isReading[reader] = false;
         }
@@ -160,8 +162,8 @@
         CPPUNIT_ASSERT(fleet.isReading[0] && fleet.isReading[2]);
     }
 
-    // Two of the three processes that follow the store are cut off from it. Their signs of life end. One more process
-    // after the other begins to follow it, not all of the fleet at once, and a change is still in force in time.
+    // Two of the three processes that follow the store are cut off from it, so their heartbeats end. Others must begin to
+    // follow it one after the other and not all at once, and a change must still be in force in time.
     void lostReaderIsReplacedByOne()
     {
         Fleet fleet(20);
@@ -178,8 +180,8 @@
         CPPUNIT_ASSERT(fleet.isReading[3] && fleet.isReading[4]);
     }
 
-    // A reader is restarted and counts from the beginning. Others know its old, higher number; refused for ever, its signs
-    // of life would never count and everybody else would follow the store.
+    // A reader is restarted and counts from the beginning, while others know its old, higher number. Guards against
+    // rejecting its heartbeats for ever, which would make all other processes follow the store.
     void restartedReaderIsHeardAgain()
     {
         StoreReaders state;
--- a/tests/packets/testupstreamhealth.cpp
+++ b/tests/packets/testupstreamhealth.cpp
@@ -20,7 +20,7 @@
     CPPUNIT_TEST(requestsOfAnEarlierProcessAreNotWaitedFor);
     CPPUNIT_TEST_SUITE_END();
 
-    /// Sends an opening there if it may go; whether it went.
+    /// Sends an opening if the upstream may get one; returns whether it was sent.
     static bool open(UpstreamHealth& health, Millis now)
     {
         const bool may = mayOpen(health, now);
@@ -29,10 +29,10 @@
         return may;
     }
 
-    // Eight upstreams serve a hundred new requests a second; one of them resets each flow with its first request for two
-    // seconds, while it reports that it is ready. Who breaks off at once has the least work, so that by load alone it gets the
-    // next opening every time and nearly all callers are cut. With its agent's refusals it costs the three requests that
-    // show it and a trial now and then.
+    // Eight upstreams serve a hundred new requests a second, and one of them resets each flow at its first request for two
+    // seconds while it reports that it is ready. It always has the least work, so by load alone it would get the next
+    // opening every time and nearly all callers would fail. With its agent's refusals it costs the three requests that
+    // reveal it and an occasional trial.
     void upstreamThatBreaksOffDrawsLittle()
     {
         constexpr Millis workTime = 60;
@@ -57,12 +57,13 @@
             busyUntil[*taker].push_back(now + workTime);
             ++served;
         }
-        // Three to show it; trials after 100, 200, 400 and 800 ms.
+        // Three requests reveal it; trials follow after 100, 200, 400 and 800 ms.
         CPPUNIT_ASSERT(cut <= 3 + 4);
         CPPUNIT_ASSERT_EQUAL(200U, cut + served);
     }
 
-    // A reset of an idle flow, or after the answer, breaks nothing off; nor does the end of a flow that never opened.
+    // A reset counts as an aborted request only after an unanswered request: not on an idle flow, after the answer, or on a
+    // flow that never opened.
     void onlyUnansweredRequestsCount()
     {
         AgentFlows table;
@@ -80,7 +81,8 @@
         CPPUNIT_ASSERT(takeUpstreamPacket(table, flowOf(3), reset, 1002).isWorkBrokenOff);
     }
 
-    // An upstream closes idle flows; now and then a caller's request crosses that and is reset. It serves all others.
+    // An upstream closes idle flows, and now and then a request crosses the close and is reset. All other requests are
+    // served.
     void brokenRequestsAmongAnsweredOnesAreNoFailure()
     {
         UpstreamHealth health;
@@ -111,8 +113,8 @@
         CPPUNIT_ASSERT(open(health, 4501));
     }
 
-    // An upstream that comes and goes by turns of two seconds answers in between. Each time it goes, three callers were cut
-    // before it showed.
+    // An upstream fails and recovers every two seconds and answers in between. Guards against three failed requests each
+    // time before the failure is detected.
     void upstreamThatGoesAgainIsKnownAtOnce()
     {
         UpstreamHealth health;
@@ -125,8 +127,9 @@
         CPPUNIT_ASSERT(!noteBrokenOff(health, 3000 + health.options.probation));
     }
 
-    // Openings wait at an agent whose upstream fails. The agent looks whether the first may go, chooses the most urgent, and
-    // decides on that one again: the look took the trial, the opening was refused, and nobody tried the upstream.
+    // Openings wait at the agent of a failing upstream. The agent checks whether the first may be sent, selects the most
+    // urgent one and checks again. Guards against the first check using up the trial: the opening was then refused and the
+    // upstream never tried.
     void lookingDoesNotUseUpATrial()
     {
         UpstreamHealth health;
@@ -139,8 +142,8 @@
         CPPUNIT_ASSERT(mayOpen(health, 1300));
     }
 
-    // Guards against callers that are sent to an upstream which accepts requests and never answers, while it reports that it
-    // is ready.
+    // Guards against sending callers to an upstream that accepts requests and never answers while it reports that it is
+    // ready.
     void upstreamThatHangsDrawsLittle()
     {
         constexpr Millis target = 250;
@@ -160,13 +163,13 @@
             ++held;
         }
         CPPUNIT_ASSERT(health.isFailing);
-        // Those that show it, and a trial for each place that a deadline frees.
+        // The requests that reveal it, and one trial for each slot that a deadline frees.
         CPPUNIT_ASSERT(held <= mostAtWork + hangsFor / health.options.longestTrial);
         noteAnswered(health);
         CPPUNIT_ASSERT(mayOpen(health, hangsFor));
     }
 
-    // Guards against a slow or cold upstream that is passed over although it answers.
+    // Guards against treating a slow or cold upstream as failing although it answers.
     void slowUpstreamThatAnswersIsNotFailing()
     {
         constexpr Millis target = 250;
@@ -184,7 +187,7 @@
         CPPUNIT_ASSERT(!reviewUnanswered(quiet, target, 4000));
     }
 
-    // Guards against a new upstream that is taken to hang since the process before it ended in the middle of its work.
+    // Guards against treating a new upstream as hanging because the previous process ended with unanswered requests.
     void requestsOfAnEarlierProcessAreNotWaitedFor()
     {
         UpstreamHealth health;
--- a/tests/packets/testviewfetching.cpp
+++ b/tests/packets/testviewfetching.cpp
@@ -4,7 +4,7 @@
 
 using namespace kingcuptrail;
 
-/// The pattern: every process starts within a third of a second of the others, most know nothing, and callers wait.
+/// All processes start within a third of a second, most have no view, and callers wait.
 class TestViewFetching : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(TestViewFetching);
     CPPUNIT_TEST(directoryDoesNotDelayTheFirstConfiguration);
@@ -13,8 +13,8 @@
     CPPUNIT_TEST(directoryIsFetchedMoreRarelyInALargeFleet);
     CPPUNIT_TEST_SUITE_END();
 
-    // Guards against a new process that fetches the directory of one as new as itself and then ignores the configuration that
-    // another peer offers.
+    // Guards against a new process that fetches the directory from an equally new one and then ignores the configuration
+    // that another peer offers.
     void directoryDoesNotDelayTheFirstConfiguration()
     {
         ViewFetching fetching { .startedAt = 1000 };
@@ -22,7 +22,7 @@
         CPPUNIT_ASSERT(beginRoutesFetch(fetching, 0, 7, 1011));
     }
 
-    // Guards against a first configuration that waits since the peer that offered it was killed in the middle.
+    // Guards against a delay of the first configuration after the peer that offered it was killed during the transfer.
     void failedFetchDoesNotDelayTheFirstConfiguration()
     {
         ViewFetching fetching { .startedAt = 1000 };
@@ -31,7 +31,7 @@
         CPPUNIT_ASSERT(!beginRoutesFetch(fetching, 0, 0, 1020));
     }
 
-    // Guards against small links that carry each version of a quick series.
+    // Guards against slow links carrying every version of a quick series.
     void seriesOfVersionsIsFetchedAtIntervals()
     {
         ViewFetching fetching;
@@ -41,7 +41,7 @@
         CPPUNIT_ASSERT(beginRoutesFetch(fetching, 4, 6, 5000 + interval));
     }
 
-    // Guards against directories that are repaired at a cost which grows with the fleet.
+    // Guards against a cost of directory repairs that grows with the fleet.
     void directoryIsFetchedMoreRarelyInALargeFleet()
     {
         constexpr std::size_t entries = 5000;
