--- a/src/libdecision/formerflows.cpp
+++ b/src/libdecision/formerflows.cpp
@@ -8,7 +8,7 @@
 
     bool showsNewUpstream(const FormerFlows& former, const UpstreamReport& report)
     {
-        // A process that sends its first report has received no flow before this agent listened.
+        // The agent sees every flow of a process whose first report it receives.
         constexpr std::uint64_t firstSequence = 1;
         if (report.sequence <= firstSequence)
             return true;
