--- a/src/kingcuptraild/packets/agentannouncement.cpp
+++ b/src/kingcuptraild/packets/agentannouncement.cpp
@@ -34,8 +34,8 @@
         begin();
 }
 
-// After a restart beside a living upstream the entry mostly stands there already, and after a restart of everything all
-// agents find that at once: a read that may be old costs the store a fraction of a write that fails.
+// After a restart beside a running upstream the store usually has the entry already, and when all agents restart together
+// they all check at once. A read that may be stale costs the store a fraction of a write that fails with a conflict.
 void AgentAnnouncement::begin()
 {
     if (m_version == 0 && !m_isChecked)
@@ -78,7 +78,8 @@
     });
 }
 
-// Something stands there already: an earlier process of this agent wrote it, or a write of this one whose answer was lost.
+// Reads the entry before it is written: an earlier process of this agent may have written it, or a put() of this process
+// whose answer was lost.
 void AgentAnnouncement::read(ListFreshness freshness)
 {
     m_isBusy = true;
@@ -98,7 +99,7 @@
             }
             if (m_isBusy)
                 return;
-            // An earlier process of this agent said the same; only its epoch differs, which processes tell each other.
+            // The stored entry differs in its epoch only. Processes exchange epochs directly, so it needs no write.
             if (found && saysTheSame(*found, *m_entry))
                 takeStanding(freshness);
             else
@@ -107,7 +108,8 @@
         freshness);
 }
 
-// What an old answer shows may have been taken out a moment ago, by the process before this one.
+// Keeps the entry that the store has. After a stale read it is read once more, because the previous process of this agent
+// may have removed it a moment before.
 void AgentAnnouncement::takeStanding(ListFreshness freshness)
 {
     m_isWritten = true;
@@ -147,8 +149,8 @@
         findToRemove();
 }
 
-// An earlier process of this agent may have written the entry, or this one without hearing the answer. Left there, it would
-// name an agent to every process that starts later.
+// The entry may be that of an earlier process of this agent, or of a write of this process whose answer was lost. If it
+// stayed in the store, every process that starts later would count on an agent that is gone.
 void AgentAnnouncement::findToRemove()
 {
     m_client.get(agentKind, m_leavingName, [this](const std::optional<PlatformObject>& object, PlatformError reason) {
@@ -161,7 +163,7 @@
     });
 }
 
-// What was written meanwhile stands after it.
+// An entry that was passed to write() during the withdrawal is written now.
 void AgentAnnouncement::finishWithdrawal()
 {
     m_leavingName.clear();
--- a/src/kingcuptraild/packets/agentannouncement.h
+++ b/src/kingcuptraild/packets/agentannouncement.h
@@ -7,28 +7,29 @@
 namespace kingcuptrail {
 
 struct AnnouncementOptions {
-    /// An answer that may be old is checked once more after this time, in milliseconds; the store's old answers are seconds
-    /// old.
+    /// How long after a possibly stale read the entry is read once more, in milliseconds. Longer than the age of the store's
+    /// stale answers, which is some seconds.
     Millis oldestAnswer = 15000;
 };
 
-/// Keeps one agent's announcement in the store, where balancers that start later find it. What changes often goes from
-/// process to process instead; here it is one write when the agent begins and one when it leaves. Tries for ever.
+/// Keeps one agent's directory entry in the store, where balancers that start later find it. The store sees one write when
+/// the agent starts and one when it leaves; state that changes often is sent from process to process instead. Failed calls
+/// are retried without limit.
 class AgentAnnouncement {
 public:
     AgentAnnouncement(asio::io_context& context, const PlatformOptions& platform, const AnnouncementOptions& options = {});
 
-    /// Writes the entry, unless it stands there already.
+    /// Writes the entry, unless the store already has one that differs in its epoch only.
     void write(const PeerEntry& entry);
-    /// Takes the entry of this name out, whichever process wrote it; `done` is called when it is out. Tries for ever. An entry
-    /// that is written meanwhile stands after it.
+    /// Removes the entry of this name, whichever process wrote it, and calls `done` once it is removed. Retries without
+    /// limit. An entry passed to write() in the meantime is written after the removal.
     void withdraw(const std::string& name, std::function<void()> done);
 
-    /// Looks for an entry of this name that another process has written; one that was written in the last seconds may be
-    /// missed.
+    /// Reads the entry of this name that another process may have written. The read may be stale and miss an entry that was
+    /// written in the last few seconds.
     void find(const std::string& name);
 
-    /// Called with the entry of another process under the same name that is found in the store.
+    /// Sets the handler that receives an entry that another process has written under the same name.
     void setOnFound(std::function<void(const PeerEntry&)> onFound) { m_onFound = std::move(onFound); }
 
     std::uint64_t callsMade() const { return m_client.callsMade(); }
@@ -55,7 +56,8 @@
     ObjectVersion m_version = 0;
     bool m_isBusy = false;
     bool m_isWritten = false;
-    /// What an old answer says has been checked, or cannot be asked for: this process has taken an entry out itself.
+    /// Stale reads are no longer followed by a second one: that one is already scheduled, or this process has removed the
+    /// entry itself and a stale read could still show it.
     bool m_isChecked = false;
 };
 
--- a/src/kingcuptraild/packets/agentstate.h
+++ b/src/kingcuptraild/packets/agentstate.h
@@ -8,7 +8,7 @@
 
 namespace kingcuptrail {
 
-/// What an agent did with a packet; one counter each.
+/// What an agent did with a packet. Each value has its own counter.
 enum class AgentPacketFate : std::uint8_t {
     Delivered,
     DeliveredToLearn,
@@ -25,36 +25,37 @@
     static constexpr std::array<std::string_view, 8> names { "delivered", "deliveredToLearn", "handedBack", "refused", "toCaller", "returned", "malformed", "forged" };
 };
 
-/// What the parts of an agent share.
+/// State shared by the parts of an agent.
 struct AgentState : PacketRoleState {
     using PacketRoleState::PacketRoleState;
 
     AgentFlows flows;
     OpenGate gate;
     UpstreamHealth health;
-    /// What this agent announces of itself.
+    /// The directory entry that this agent announces.
     PeerEntry self;
-    /// Openings that wait here and can still be answered in time: those that a new one would wait with. Late ones would keep
-    /// balancers away from an agent that serves a new one at once.
+    /// Queued openings that can still be answered within their latency target. Overdue ones are not counted: a new opening
+    /// is admitted ahead of them, so counting them would keep balancers away from an agent with room.
     std::uint32_t waiting = 0;
     float usualLoad = 0;
-    /// Hosts that have sent callers' packets, balancers and neighbours that probe; a packet's mark is an index into it, plus one.
+    /// Hosts that have sent callers' packets: balancers, and neighbours that probe. The mark of a packet is the sender's index
+    /// in this list plus one.
     std::vector<std::uint32_t> senders;
     std::vector<std::uint8_t> scratch;
     EnumCounters<AgentPacketFate> fates;
     EnumCounters<OpenRefusal> refusals;
 };
 
-/// Answers a balancer, with this agent's load.
+/// Sends an answer that also carries this agent's load and configuration version.
 void reply(AgentState&, std::uint32_t balancer, FlowMessage message);
 
-/// How loaded the upstream is.
+/// The current load of the upstream, including openings that wait at the agent.
 AgentLoad loadOf(const AgentState&);
 
-/// The mark by which a packet that comes back is known to be this sender's.
+/// The mark that identifies the sender of a packet when the upstream returns it. Adds a sender that is not known yet.
 std::uint32_t indexOf(AgentState&, std::uint32_t sender);
 
-/// Sends a caller's packet to the upstream, as its sender wrote it.
+/// Sends a copy of a caller's packet to the upstream, with the marks in the packet replaced by `mark`.
 void deliver(AgentState&, std::span<const std::uint8_t> packet, std::uint32_t mark);
 
 }
--- a/src/kingcuptraild/packets/balancerstate.h
+++ b/src/kingcuptraild/packets/balancerstate.h
@@ -8,7 +8,7 @@
 
 namespace kingcuptrail {
 
-/// What a balancer did with a caller's packet; one counter each.
+/// What a balancer did with a caller's packet. Each value has its own counter.
 enum class PacketFate : std::uint8_t {
     Offered,
     Forwarded,
@@ -25,7 +25,7 @@
     static constexpr std::array<std::string_view, 8> names { "offered", "forwarded", "probed", "waiting", "malformed", "forged", "noView", "searchFull" };
 };
 
-/// Why a balancer reset a caller's flow; one counter each.
+/// Why a balancer reset a caller's flow. Each value has its own counter.
 enum class ResetReason : std::uint8_t {
     NoRoute,
     NoAgent,
@@ -38,27 +38,28 @@
     static constexpr std::array<std::string_view, 4> names { "noRoute", "noAgent", "refusedByAll", "heldByNobody" };
 };
 
-/// What the parts of a balancer share.
+/// State shared by the parts of a balancer.
 struct BalancerState : PacketRoleState {
     using PacketRoleState::PacketRoleState;
 
-    /// By the agent's address.
+    /// The last known load of each agent, by the agent's address.
     std::unordered_map<std::uint32_t, AgentLoad> loads;
     SilentAgents silent;
-    /// A cache of who holds which flow.
+    /// Cache of the agent that holds each flow.
     std::unordered_map<FlowKey, Holder> holders;
     EnumCounters<PacketFate> fates;
     EnumCounters<ResetReason> resets;
     EnumCounters<OpenRefusal> refusals;
 };
 
-/// Resets a flow at its caller; `sequence` is near what the caller last acknowledged, or anything for an opening.
+/// Sends a reset for a flow to its caller. `sequence` must be near the number that the caller last acknowledged; for an
+/// opening any value will do.
 void sendReset(BalancerState&, const FlowKey& flow, std::uint32_t sequence, ResetReason reason);
 
-/// Takes the load that an agent's message carries.
+/// Stores the load that an agent's message carries.
 void noteLoad(BalancerState&, const PeerMessage& message, std::uint32_t sender);
 
-/// The packet's bytes, to be kept.
+/// Copies a packet that has to outlive the receive buffer.
 inline PacketBytes copyOf(std::span<const std::uint8_t> packet)
 {
     return { packet.begin(), packet.end() };
--- a/src/kingcuptraild/packets/connectionadmission.cpp
+++ b/src/kingcuptraild/packets/connectionadmission.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    /// Between two looks at openings that wait, in milliseconds: a part of the time after which one is taken for left.
+    /// How often the queue is checked, in milliseconds: a fraction of the time after which a caller is assumed to have left.
     constexpr Millis queueInterval = 20;
 
 }
@@ -97,7 +97,8 @@
     startQueueTimer();
 }
 
-// Room comes with the upstream's packets; only openings of callers that have left make room without any.
+// The queue is checked with each packet of the upstream, since answers make room. The timer covers callers that leave: their
+// openings make room without a packet of the upstream.
 void ConnectionAdmission::startQueueTimer()
 {
     if (m_isQueueTimerOn)
@@ -111,7 +112,7 @@
     });
 }
 
-// Fills the room at the upstream from those that wait. What no longer may be admitted goes back to its balancer.
+// An opening that may no longer be admitted is refused, and its packet goes back to the balancer.
 void ConnectionAdmission::admitWaiting()
 {
     if (m_queue.waiting.empty())
@@ -123,7 +124,8 @@
     for (const WaitingOpening& expired : overdue)
         refuse(expired.flow, expired.packet, expired.balancer, OpenRefusal::WaitedTooLong);
     while (const WaitingOpening* next = peekNext(m_queue, now)) {
-        // One whose answer comes late anyway gets idle slots only: queued at the upstream it would make timely ones late.
+        // An opening that will miss its latency target anyway gets an idle slot only: queued at the upstream, it would delay
+        // openings that can still meet theirs.
         const OpenRefusal refusal = decide(next->flow, 0, !isTimely(*next, now), now);
         if (refusal == OpenRefusal::Busy)
             return;
--- a/src/kingcuptraild/packets/connectionadmission.h
+++ b/src/kingcuptraild/packets/connectionadmission.h
@@ -6,14 +6,14 @@
 
 namespace kingcuptrail {
 
-/// Where an agent admits openings to its upstream, lets them wait for room, or refuses them.
+/// Admits openings to an agent's upstream, queues them until the upstream has room, or refuses them.
 class ConnectionAdmission {
 public:
     explicit ConnectionAdmission(AgentState& state);
 
-    /// An opening that a balancer offers.
+    /// Handles an opening that a balancer offers.
     void open(const PeerMessage& message, std::uint32_t sender);
-    /// Fills the room at the upstream from those that wait.
+    /// Refuses queued openings whose wait has expired, and admits others while the upstream has room.
     void admitWaiting();
     void refuse(const FlowKey& flow, std::span<const std::uint8_t> packet, std::uint32_t balancer, OpenRefusal refusal);
 
--- a/src/kingcuptraild/packets/connectiondispatcher.cpp
+++ b/src/kingcuptraild/packets/connectiondispatcher.cpp
@@ -9,16 +9,16 @@
 
 namespace {
 
-    /// An agent that has not answered an opening for this long is passed over, in milliseconds. Below the time after which the
-    /// caller sends a copy.
+    /// How long an agent may take to answer an offer before the next agent gets it, in milliseconds. Below the time after
+    /// which the caller retransmits.
     constexpr Millis answerLimit = 60;
-    /// How long after its start a process may not know every agent, in milliseconds.
+    /// How long after its start a process may still be missing agents in its directory, in milliseconds.
     constexpr Millis learningTime = 2000;
-    /// An opening that every agent refused for a passing reason is offered again after this long, in milliseconds.
+    /// How long to wait before an opening that every agent refused for a transient reason is offered again, in milliseconds.
     constexpr Millis againInterval = 40;
-    /// Openings offered again in one turn, so that a backlog does not keep a small balancer from its packets.
+    /// Openings offered again in one tick, so that a backlog does not delay the packets of a balancer on a small host.
     constexpr std::size_t offersInTurn = 12;
-    /// How long an agent's refusal keeps it behind the others, in milliseconds.
+    /// How long an agent ranks behind the others after a refusal, in milliseconds.
     constexpr Millis refusalTime = 100;
 
 }
@@ -31,12 +31,13 @@
 void ConnectionDispatcher::open(const FlowKey& flow, std::uint32_t copies, std::span<const std::uint8_t> packet)
 {
     const Millis now = m_state.role.clock.now();
-    // After a pause the socket holds openings whose callers have gone on over other balancers since.
+    // After a pause of this process the socket still holds openings whose callers have since moved to other balancers.
     if (m_state.network.isInDoubt()) {
         m_state.fates.increment(PacketFate::NoView);
         return;
     }
-    // A copy goes to the same agent, so that a flow is not opened at two; a silent agent is in doubt.
+    // A retransmission goes to the agent that admitted the first packet, so that a flow is not opened at two agents. If that
+    // agent has left an offer unanswered, the opening is offered anew.
     if (const auto holder = m_state.holders.find(flow); holder != m_state.holders.end()) {
         if (m_state.loads[holder->second.agent].unanswered == 0) {
             holder->second.usedAt = now;
@@ -55,8 +56,8 @@
     offerToNext(flow, opening);
 }
 
-// Offers an opening to the best agent that has not had it yet. Without a configuration or agents it waits: a process that
-// has just started learns both within some round trips, and its callers' copies would come 200 ms later.
+// Offers an opening to the best agent that has not had it yet. Without a configuration or agents the opening waits: a process
+// that has just started learns both within a few round trips, while a retransmission of the caller would take 200 ms.
 void ConnectionDispatcher::offerToNext(const FlowKey& flow, Opening& opening)
 {
     const Millis now = m_state.role.clock.now();
@@ -73,7 +74,7 @@
     }
     const std::vector<std::uint32_t> order = agentsFor(flow, *service);
     const auto next = std::ranges::find_if(order, [&](std::uint32_t agent) { return std::ranges::find(opening.tried, agent) == opening.tried.end(); });
-    // A process that has just started may not have heard of every agent yet.
+    // The directory of a process that has just started may be incomplete.
     const bool isNew = now - m_state.startedAt < learningTime;
     if (next == order.end() && (opening.mayTryAgain || isNew) && now - opening.startedAt < longestOpeningWait()) {
         opening.tried.clear();
@@ -98,7 +99,8 @@
     m_state.fates.increment(PacketFate::Offered);
 }
 
-// Nobody who was asked has a free slot: the opening waits at the one with the least work, by what they have just said.
+// None of the agents that got the opening has a free slot. It is queued at the one with the least work for each slot,
+// according to the load in their refusals.
 void ConnectionDispatcher::offerToWait(const FlowKey& flow, Opening& opening)
 {
     const auto workOf = [this](std::uint32_t agent) {
@@ -110,7 +112,7 @@
     offerTo(*least, flow, opening);
 }
 
-// The opening is the caller's of `flow`; it is gone after this.
+// Resets the flow and erases its opening; `opening` is invalid afterwards.
 void ConnectionDispatcher::finishRefused(const FlowKey& flow, const Opening& opening, ResetReason reason)
 {
     logFlowEvent(Event::FlowRefused, flow, { { "reason", nameOf(reason) }, { "lastRefusal", nameOf(opening.lastRefusal) }, { "tried", opening.tried.size() }, { "version", m_state.network.routes().version } });
@@ -156,11 +158,12 @@
     if (const auto holder = m_state.holders.find(message.flow); holder != m_state.holders.end() && holder->second.agent == sender)
         m_state.holders.erase(holder);
     auto opening = m_openings.find(message.flow);
-    // A refusal that comes after the opening is settled is from an agent that stood still: the caller has long gone on.
+    // A refusal that comes after the opening has ended is from an agent that was paused, and the caller has moved on.
     if (opening == m_openings.end() && message.refusal != OpenRefusal::Returned && message.refusal != OpenRefusal::WaitedTooLong)
         return;
     if (opening == m_openings.end()) {
-        // An opening that was admitted before: its upstream has handed it back since, or it has waited in vain.
+        // The agent had admitted the opening; since then its upstream has returned the packet, or its time in the agent's
+        // queue has run out.
         opening = m_openings.try_emplace(message.flow).first;
         opening->second.packet = copyOf(message.packet);
         opening->second.startedAt = m_state.role.clock.now();
@@ -182,7 +185,7 @@
         offerToNext(message.flow, opening->second);
 }
 
-// The opening may be gone after this.
+// `opening` may be invalid afterwards.
 void ConnectionDispatcher::handleBusy(const FlowKey& flow, Opening& opening, std::uint32_t sender)
 {
     ++opening.busyAgents;
@@ -210,7 +213,8 @@
         if (now - opening.offeredAt >= (opening.agent == 0 ? againInterval : answerLimit))
             late.push_back(flow);
     }
-    // The newest first: it can still be answered in time. Few at once, since each may go to several agents.
+    // The newest openings come first, since they can still be answered in time. Each may go to several agents, so the number
+    // of them in one tick is limited.
     std::ranges::sort(late, std::greater(), [this](const FlowKey& flow) { return m_openings.at(flow).startedAt; });
     if (late.size() > offersInTurn)
         late.resize(offersInTurn);
--- a/src/kingcuptraild/packets/connectiondispatcher.h
+++ b/src/kingcuptraild/packets/connectiondispatcher.h
@@ -5,17 +5,18 @@
 
 namespace kingcuptrail {
 
-/// The openings that a balancer is bringing to agents: offered to one after the other until one takes it, or reset.
+/// Offers each opening to one agent after the other until one admits it, and resets the flow when none does.
 class ConnectionDispatcher {
 public:
     explicit ConnectionDispatcher(BalancerState& state);
 
-    /// A caller's opening packet: the first, or copy number `copies` of it.
+    /// Handles a caller's opening packet: the first one or a retransmission. `copies` is the number of
+    /// retransmissions so far.
     void open(const FlowKey& flow, std::uint32_t copies, std::span<const std::uint8_t> packet);
-    /// Answers of agents.
+    /// Handle the answers of agents.
     void handleAdmitted(const PeerMessage& message, std::uint32_t sender);
     void handleRefused(const PeerMessage& message, std::uint32_t sender);
-    /// Offers again what was not answered in time, and what everybody refused for a passing reason.
+    /// Offers again openings that were not answered in time and openings that all agents refused for a transient reason.
     void offerAgain(Millis now);
 
     bool isEmpty() const { return m_openings.empty(); }
--- a/src/kingcuptraild/packets/flowholders.h
+++ b/src/kingcuptraild/packets/flowholders.h
@@ -11,48 +11,48 @@
 
 using PacketBytes = std::vector<std::uint8_t>;
 
-/// An opening packet that is being offered to agents, one after the other.
+/// An opening packet that is offered to one agent after the other.
 struct Opening {
     PacketBytes packet;
     std::vector<std::uint32_t> tried;
-    /// The agent that has it now; 0 while there is none to offer it to.
+    /// The agent whose answer is awaited; 0 when there is no agent to offer the opening to.
     std::uint32_t agent = 0;
     Millis startedAt = 0;
     Millis offeredAt = 0;
-    /// The agents' last reason not to take it.
+    /// The reason of the last refusal.
     OpenRefusal lastRefusal = OpenRefusal::None;
-    /// Agents without a free slot that it was offered to.
+    /// Agents that refused the opening because they had no room.
     std::uint32_t busyAgents = 0;
-    /// An agent refused for a reason that may soon be gone.
+    /// At least one agent refused for a transient reason.
     bool mayTryAgain = false;
 };
 
-/// Where a balancer last learnt that a flow is. A cache: agents know for certain.
+/// Cache entry for the agent that holds a flow. It may be out of date; only the agent itself knows for certain.
 struct Holder {
     std::uint32_t agent = 0;
     Millis usedAt = 0;
 };
 
-/// An agent that was asked for its whole data centre.
+/// An agent that was asked on behalf of all agents of its data centre.
 struct Speaker {
     std::uint32_t address = 0;
-    /// The agents that it speaks for: not for one that became known after it was asked.
+    /// The agents that its answer covers. An agent that became known after the question is not among them.
     std::vector<std::uint32_t> members;
 };
 
-/// A search and the packets that wait for its end.
+/// A search for the holder of a flow and the packets that wait for its end.
 struct WaitingSearch {
     HolderSearch search;
     std::vector<PacketBytes> packets;
-    /// Asked and not heard of yet.
+    /// Agents asked for their data centre whose answers are still missing.
     std::vector<Speaker> speakers;
-    /// Everybody who was asked.
+    /// All agents that were asked, directly or through another agent.
     AgentsByCentre asked;
-    /// The unsure ones; they get the first packet.
+    /// Decides which of the unsure agents are probed with the first packet, and when.
     ProbePlan plan;
-    /// Whoever was late to answer counts as unsure since.
+    /// The time for answers has passed once, and agents that had not answered by then are treated as unsure.
     bool isOverdue = false;
-    /// What the caller last acknowledged, for a reset.
+    /// The number that the caller last acknowledged; a reset needs it.
     std::uint32_t acknowledged = 0;
 };
 
--- a/src/kingcuptraild/packets/flowlearning.cpp
+++ b/src/kingcuptraild/packets/flowlearning.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-    /// Within which time an upstream hands a packet back that it does not want, in milliseconds. It runs on the same host.
+    /// Time within which the upstream returns a packet of a flow that it does not hold, in milliseconds. Short, because it
+    /// runs on the same host.
     constexpr Millis returnTime = 12;
 
 }
@@ -33,7 +34,7 @@
     return question;
 }
 
-// One that runs is left as it is: started anew by each packet, it would not end while packets come.
+// A running timer is not restarted: if each packet restarted it, it would never fire while packets keep coming.
 void FlowLearning::startTimer()
 {
     if (m_isTimerOn)
@@ -47,8 +48,8 @@
     });
 }
 
-// What an upstream does not hold it hands back at once. A packet that it keeps belongs to a flow that it holds, unless
-// nobody is there to take it.
+// A packet that was not returned in time belongs to a flow that the upstream holds, provided that an upstream is running:
+// without one, nothing would have returned the packet.
 void FlowLearning::settle()
 {
     const Millis now = m_state.role.clock.now();
--- a/src/kingcuptraild/packets/holderfinder.cpp
+++ b/src/kingcuptraild/packets/holderfinder.cpp
@@ -8,24 +8,25 @@
 
 namespace {
 
-    /// A search is given up after this long, in milliseconds: the caller sends its packet again after 200 ms at the earliest.
+    /// Time limit of a search, in milliseconds. The caller retransmits after 200 ms at the earliest, which starts a new
+    /// search.
     constexpr Millis searchLimit = 190;
-    /// A search waits this long for the first agent that is known, and one in which everybody has said no for a peer's word
-    /// that nobody is missing, in milliseconds: several rounds of news. It costs nothing but memory; a caller whose search
-    /// had ended would be told with its next packet only, up to 1.6 s later.
+    /// Time limit of a search that waits for the first known agent, and of one that every agent has denied and that waits for
+    /// a peer to confirm the directory, in milliseconds: several rounds of gossip. Waiting costs memory only; if the
+    /// search ended, the caller would get its reset with its next packet, up to 1.6 s later.
     constexpr Millis newsLimit = 1000;
-    /// Searches that are begun in one turn when the first agents become known, so that a backlog does not keep a small balancer
-    /// from its packets.
+    /// Searches that are started in one tick when the first agents become known, so that a backlog does not delay the packets
+    /// of a balancer on a small host.
     constexpr std::size_t searchesBegunInTurn = 16;
-    /// How long the one agent that is asked for its data centre may take, in milliseconds: several round trips.
+    /// How long an agent that was asked for its data centre may take to answer, in milliseconds: several round trips.
     constexpr Millis speakerLimit = 30;
-    /// A turn that comes this long after the one before shows that the process is behind with its work, in milliseconds: twice
-    /// the 20 ms between turns.
+    /// A tick that comes this long after the previous one shows that the process is behind with its work, in milliseconds:
+    /// twice the 20 ms between ticks.
     constexpr Millis lateTurn = 40;
-    /// Packets of one flow that wait for a search: what a caller has in flight.
+    /// Packets of one flow that may wait for a search: the number that a caller has in flight.
     constexpr std::size_t waitingPackets = 16;
-    /// Searches at a time. Beyond it packets are dropped as in a full queue; at 1,200 bytes a packet and a few packets each
-    /// it bounds the memory at some 10 MB.
+    /// Concurrent searches. Packets of further flows are dropped. With 1,200 bytes a packet and a few packets a flow, this
+    /// bounds the memory at about 10 MB.
     constexpr std::size_t maxSearches = 4096;
 
 }
@@ -35,8 +36,8 @@
 {
 }
 
-// The cache does not know the flow: another balancer opened it, or this process has started since. Each agent of the
-// service is asked; the one that holds the flow says so within a round trip, and the packet goes there.
+// A flow is missing from the cache when another balancer opened it, or when this process started after it was opened. All
+// agents of the service are asked; the holder answers within a round trip and gets the packet.
 void HolderFinder::search(const FlowKey& flow, const PacketHead& head, std::span<const std::uint8_t> packet)
 {
     if (m_searches.size() >= maxSearches) {
@@ -62,8 +63,8 @@
     ask(flow, waiting, agents);
 }
 
-// After a loss of power callers' packets arrive before any agent is known. A search that ended then was made again with the
-// caller's next copy, up to 1.6 s later; it is cheaper for both to keep it until there is somebody to ask.
+// Starts the searches that had no agent to query. After a loss of power, callers' packets arrive before any agent is known. If
+// such a search ended, it would start again only with the caller's next retransmission, up to 1.6 s later.
 void HolderFinder::beginLate()
 {
     std::size_t begun = 0;
@@ -89,7 +90,8 @@
     return agents;
 }
 
-// Whoever is asked for its data centre speaks for the agents of all services there.
+// An agent that is asked for its data centre answers for the agents of all services there, so the list of a data centre that
+// is large enough to be asked through one agent holds all of them.
 AgentsByCentre HolderFinder::holdersToAsk(const std::string* service) const
 {
     AgentsByCentre agents = possibleHolders(service);
@@ -101,7 +103,7 @@
     return agents;
 }
 
-// Asks the awaited agents: in a data centre with several of them one agent, who asks the others, and elsewhere each.
+// In a data centre with enough agents one of them is asked and queries the others; in the rest each agent is asked directly.
 void HolderFinder::ask(const FlowKey& flow, WaitingSearch& waiting, const AgentsByCentre& agents)
 {
     for (const auto& [dataCentre, members] : agents) {
@@ -114,7 +116,8 @@
     }
 }
 
-// Neither the agent that is asked nor its neighbours wait for these.
+// The agents of a data centre that have not answered for so long that searches no longer wait for them. They are excluded from
+// the question, so that the agent that is asked does not wait for them either.
 std::vector<std::uint32_t> HolderFinder::givenUpIn(const std::string& dataCentre) const
 {
     std::vector<std::uint32_t> agents;
@@ -126,7 +129,7 @@
     return agents;
 }
 
-// With a packet, the agent that is asked probes its neighbours with it.
+// When `packet` is not empty, the agent that is asked probes its neighbours with it.
 void HolderFinder::askSpeaker(const FlowKey& flow, WaitingSearch& waiting, const std::string& dataCentre, std::span<const std::uint32_t> members, std::span<const std::uint8_t> packet)
 {
     const std::uint32_t speaker = nextSpeaker(members);
@@ -136,7 +139,8 @@
     waiting.speakers.push_back({ .address = speaker, .members = { members.begin(), members.end() } });
 }
 
-// Any of them will do. Another one each time, so that a search that one has left unanswered goes to the next.
+// Chooses the agents round-robin, so that the next attempt of a search that was left unanswered goes to another agent. Agents
+// with unanswered messages are skipped while there are others.
 std::uint32_t HolderFinder::nextSpeaker(std::span<const std::uint32_t> members)
 {
     const std::size_t first = m_speakerTurn++;
@@ -150,7 +154,6 @@
     return members[first % members.size()];
 }
 
-// The word of one agent for its data centre.
 void HolderFinder::handleNearAnswer(const PeerMessage& message, std::uint32_t sender)
 {
     const auto found = m_searches.find(message.flow);
@@ -178,7 +181,8 @@
     settleSearch(message.flow, state);
 }
 
-// Agents that the one that was asked does not know are asked directly; those that only it knows have to say no as well.
+// Agents that the answering agent did not report on are asked directly. Agents that only the answering agent knows are added
+// to the search, so that they have to deny the flow as well.
 void HolderFinder::takeNearUnsure(const PeerMessage& message, WaitingSearch& waiting, std::span<const std::uint32_t> members)
 {
     const NearAnswer answer = sortNearAnswer(waiting.search, members, message.denied, message.excluded);
@@ -198,7 +202,8 @@
     takeUnsure(message.flow, waiting, awaitedOf(waiting.search, members));
 }
 
-// The packet goes once to each large data centre, where one agent brings it to the others.
+// Marks agents as unsure and sends the probes that are due. A large data centre gets the packet once, and one agent there
+// copies it to the others.
 void HolderFinder::takeUnsure(const FlowKey& flow, WaitingSearch& waiting, std::span<const std::uint32_t> agents)
 {
     const std::string* service = serviceForFlow(m_state.network.routes(), flow);
@@ -212,7 +217,7 @@
     probe(flow, waiting, false);
 }
 
-// One packet tells; the others wait for the answer.
+// One packet is enough to find the holder, so the other packets of the flow wait for the answer.
 void HolderFinder::probe(const FlowKey& flow, WaitingSearch& waiting, bool isNearOverdue)
 {
     const PacketBytes& packet = waiting.packets.front();
@@ -230,12 +235,12 @@
     m_state.network.sendToAll(agents, { .kind = wire::PeerKind::Find, .flow = flow, .configVersion = m_state.network.routes().version, .acknowledged = waiting.acknowledged });
 }
 
-// An agent that is asked for its data centre may be silent, or one of its neighbours, or this process is late to read the
-// answers. Another one there gets the packet then: a flow that is held is found whoever is silent. Asking each agent
-// itself took forty messages a search, at a small balancer just when it was late already.
+// When the agent that was asked for its data centre does not answer, or one of its neighbours does not, another agent there
+// gets the packet, so that one unresponsive agent cannot hide the holder of a flow. Asking every agent directly instead
+// would take 40 messages a search, on balancers with small hosts that are already behind.
 void HolderFinder::probeOverdue(Millis now)
 {
-    // A process whose own turn comes late has the answers in its socket.
+    // When this process itself is late, the answers may be waiting in its socket.
     const bool isLateItself = now - std::exchange(m_turnedAt, now) > lateTurn;
     if (isLateItself)
         return;
@@ -265,22 +270,22 @@
         const Millis now = m_state.role.clock.now();
         m_state.holders[flow] = { .agent = waiting.search.holder, .usedAt = now };
         logFlowEvent(Event::HolderFound, flow, { { "agent", addressText(waiting.search.holder) }, { "milliseconds", static_cast<std::uint64_t>(now - waiting.search.startedAt) } });
-        // A holder that was unsure has the first packet already.
+        // A holder that was probed already has the first packet.
         for (std::size_t next = wasProbed(waiting.plan, waiting.search.holder) ? 1 : 0; next < waiting.packets.size(); ++next)
             m_state.network.send(waiting.search.holder, { .kind = wire::PeerKind::Forward, .flow = flow, .configVersion = m_state.network.routes().version, .packet = waiting.packets[next] });
         m_searchEnds.increment(state);
         m_searches.erase(found);
         return;
     }
-    // A configuration may have moved the route since the flow was opened, and the directory may have grown since the search
-    // began: whoever is known by now has to say so too.
+    // The route may have moved to another service since the flow was opened, and the directory may have grown since the search
+    // began. The flow is lost only when every agent that is known now has denied it.
     const AgentsByCentre known = possibleHolders(nullptr);
     if (const auto missing = askMissing(waiting.search, addressesOf(known)); !missing.empty()) {
         waiting.search.startedAt = m_state.role.clock.now();
         ask(flow, waiting, amongThese(known, missing));
         return;
     }
-    // turn() looks again until a peer has confirmed the directory.
+    // The periodic check repeats this until a peer has confirmed the directory.
     if (!canBeCertain())
         return;
     logFlowEvent(Event::FlowLost, flow, { { "directory", m_state.network.directory().entries.size() }, { "milliseconds", static_cast<std::uint64_t>(m_state.role.clock.now() - waiting.search.startedAt) } });
@@ -289,7 +294,7 @@
     m_searches.erase(found);
 }
 
-// Ends the searches that waited for nothing but a peer's word that the directory is complete.
+// Ends the searches that every agent has denied and that only waited for a peer to confirm the directory.
 void HolderFinder::settleConfirmed()
 {
     if (!canBeCertain())
@@ -309,8 +314,8 @@
     return now - search.startedAt > (isWaitingForNews ? newsLimit : searchLimit);
 }
 
-// A balancer that has not heard of every agent could take a flow for lost that one of them holds: another balancer may have
-// opened it there. Every agent is known while peers know the same ones.
+// A balancer with an incomplete directory could declare a flow lost that another balancer opened at an agent that this one
+// does not know. The directory counts as complete while peers report the same agents.
 bool HolderFinder::canBeCertain() const
 {
     return m_state.network.isDirectoryConfirmed();
@@ -327,7 +332,7 @@
         const bool wasCached = holder != m_state.holders.end() && holder->second.agent == sender;
         if (wasCached)
             m_state.holders.erase(holder);
-        // A packet that comes back from the cached holder is looked after anew.
+        // The cached holder has sent the packet back, so a new search starts with it.
         if (wasCached && found == m_searches.end() && !message.packet.empty()) {
             DecodeError error = DecodeError::None;
             if (const auto head = m_state.adapter.decodePacket(message.packet, error))
@@ -361,8 +366,9 @@
     });
 }
 
-// Nothing can be said to the caller: it sends its packet again, and the next search may end otherwise. Whoever was asked, or
-// got the packets, and did not answer may be gone for good; one that lives says something else soon.
+// The result is unknown, so the caller gets no reset: it retransmits, and the next search may find the holder. Agents that
+// did not answer are recorded as unresponsive, since their hosts may be gone; the next message of a running agent clears the
+// record.
 void HolderFinder::endUncertain(const FlowKey& flow, const HolderSearch& search, Millis now)
 {
     const std::vector<std::uint32_t> unanswered = unansweredIn(search);
--- a/src/kingcuptraild/packets/holderfinder.h
+++ b/src/kingcuptraild/packets/holderfinder.h
@@ -4,17 +4,17 @@
 
 namespace kingcuptrail {
 
-/// Finds the agents that hold flows which the balancer's cache does not know; packets wait here until one is found.
+/// Finds the agent that holds a flow which is not in the balancer's cache. Packets of the flow wait until it is found.
 class HolderFinder {
 public:
     explicit HolderFinder(BalancerState& state);
 
-    /// Looks for the holder of a packet's flow, or lets the packet wait for the search that is under way.
+    /// Starts a search for the holder of a packet's flow, or adds the packet to the search that is already running.
     void search(const FlowKey& flow, const PacketHead& head, std::span<const std::uint8_t> packet);
-    /// An agent's word for itself, and for its data centre.
+    /// Handle an agent's answer for itself, and its answer for all agents of its data centre.
     void handleHolderAnswer(const PeerMessage& message, std::uint32_t sender);
     void handleNearAnswer(const PeerMessage& message, std::uint32_t sender);
-    /// Asks further where an answer is late, and ends what took too long.
+    /// Probes agents whose answers are late and ends searches that took too long; to be called several times a second.
     void turn(Millis now);
 
     void exposeMetrics(std::string& out) const;
--- a/src/kingcuptraild/packets/httpendpoint.h
+++ b/src/kingcuptraild/packets/httpendpoint.h
@@ -5,7 +5,7 @@
 
 namespace kingcuptrail {
 
-/// A supervised HTTP address whose requests are answered at once by one function.
+/// A supervised HTTP server that answers every request synchronously through one function.
 class HttpEndpoint : public Supervised {
 public:
     using Answer = std::function<HttpResponse(const HttpRequest&)>;
--- a/src/kingcuptraild/packets/neighboursearches.cpp
+++ b/src/kingcuptraild/packets/neighboursearches.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-    /// How long a search among neighbours may last, in milliseconds: the balancer has asked everybody itself long before.
+    /// Time limit of a search among neighbours, in milliseconds. The balancer probes agents without an answer long before.
     constexpr Millis nearSearchLimit = 100;
-    /// Agents that an answer names at the most, so that it stays within one datagram.
+    /// The most agents that an answer may name, so that it fits into one datagram.
     constexpr std::size_t mostNamed = 250;
 
 }
@@ -19,14 +19,13 @@
 {
 }
 
-// A balancer that does not know a flow asks one agent in each data centre instead of all agents, so that a search costs it
-// some messages however many agents there are. This one asks its neighbours. Its no speaks for all of them when both know
-// the same agents there; otherwise it names those that have said no, so that a difference about one agent leaves only that
-// one open.
-// Load: all agents have just been restarted beside living upstreams, and every flow has to be found anew. None of them
-// knows a flow then; only the caller's packet tells, delivered and handed back or not. Harm: sent to each agent by the
-// balancer, the copies are some sixty times the caller's bytes, on the narrowest links of the deployment. So the balancer
-// sends the packet once, and it is copied here.
+// A balancer that does not know a flow's holder asks one agent in each data centre instead of all agents, so that the number
+// of its messages does not grow with the number of agents. That agent queries its neighbours. It may answer NotHeldNear for
+// all of them only when the balancer knows the same agents there; otherwise it lists the agents that denied the flow, so that
+// a directory difference about one agent leaves only that agent open.
+// When all agents were restarted beside running upstreams, no agent knows its flows, and only delivering a packet of the flow
+// shows whether an upstream holds it. If the balancer sent the packet to every agent itself, its links, the narrowest of the
+// deployment, would carry 60 times the caller's bytes. The balancer therefore sends the packet once, and this agent copies it.
 void NeighbourSearches::begin(const PeerMessage& message, std::uint32_t sender)
 {
     const Millis now = m_state.role.clock.now();
@@ -41,7 +40,7 @@
     }
     const bool isProbe = !message.packet.empty();
     std::vector<std::uint32_t> toAsk = neighbours(message.excluded);
-    // This agent's own upstream has to see the packet too.
+    // This agent probes its own upstream as well.
     if (isProbe && own == HolderAnswer::Unsure)
         toAsk.push_back(m_state.network.ownAddress());
     const bool isSameList = message.digest == agentsDigestOf(m_state.network.directory(), m_state.role.settings.dataCentre, message.excluded);
@@ -66,7 +65,7 @@
     return addresses;
 }
 
-// One that is unsure does not end the search: another may hold the flow.
+// An unsure answer does not end the search, since another neighbour may hold the flow.
 void NeighbourSearches::handleAnswer(const PeerMessage& message, std::uint32_t sender)
 {
     const auto found = m_searches.find(message.flow);
@@ -98,7 +97,7 @@
     reply(m_state, balancer, { .kind = wire::PeerKind::UnsureNear, .flow = flow, .excluded = std::move(answer.open), .denied = std::move(answer.denied) });
 }
 
-// Who has denied and who could not say, this agent among them.
+// The agents that denied the flow and the agents that could not tell or did not answer, including this agent.
 NearAnswer NeighbourSearches::answerOf(const NearSearch& near) const
 {
     NearAnswer answer { .open = unansweredIn(near.search) };
@@ -111,7 +110,7 @@
     return answer;
 }
 
-// A neighbour that stays silent leaves the answer open.
+// Searches that are out of time end with an answer that lists the silent neighbours as open.
 void NeighbourSearches::expire(Millis now)
 {
     std::vector<FlowKey> overdue;
--- a/src/kingcuptraild/packets/neighboursearches.h
+++ b/src/kingcuptraild/packets/neighboursearches.h
@@ -5,23 +5,24 @@
 
 namespace kingcuptrail {
 
-/// Searches among the agents of the own data centre that an agent makes for balancers.
+/// Searches that an agent makes on behalf of balancers for the holders of flows among the agents of its data centre.
 class NeighbourSearches {
 public:
     explicit NeighbourSearches(AgentState& state);
 
-    /// A balancer asks for the whole data centre; with a packet of the flow, when agents are unsure.
+    /// Handles a balancer's question for the whole data centre. It carries a packet of the flow when agents were unsure
+    /// before.
     void begin(const PeerMessage& message, std::uint32_t sender);
-    /// A neighbour's answer.
+    /// Handles a neighbour's answer.
     void handleAnswer(const PeerMessage& message, std::uint32_t sender);
     void expire(Millis now);
 
 private:
     struct NearSearch {
         std::uint32_t balancer = 0;
-        /// Both know the same agents here.
+        /// The balancer and this agent know the same agents in this data centre.
         bool isSameList = false;
-        /// This agent has said no for itself.
+        /// This agent itself does not hold the flow.
         bool hasDenied = false;
         HolderSearch search;
     };
--- a/src/kingcuptraild/packets/packetagent.cpp
+++ b/src/kingcuptraild/packets/packetagent.cpp
@@ -12,28 +12,28 @@
 namespace {
 
     constexpr Millis turnInterval = 100;
-    /// News of load goes to balancers at most this often, in milliseconds, and only when it changed. While openings wait here
-    /// it goes more often, since then others have room.
+    /// Shortest time between two Load messages to balancers, in milliseconds; they are sent only when the load has changed. It
+    /// is shorter while openings wait here, so that balancers soon offer openings to others with room.
     constexpr Millis loadInterval = 1000;
     constexpr Millis fullLoadInterval = 200;
-    /// Part of each look, one a turn, in the smoothed load.
+    /// Weight of the newest sample in the smoothed load. One sample is taken in each tick.
     constexpr float smoothing = 0.2F;
-    /// A smoothed load that changed by less is not told.
+    /// The smallest change of the smoothed load that is sent to balancers.
     constexpr float loadStep = 0.1F;
-    /// Balancers that have sent nothing for longer are not told, in milliseconds.
+    /// Balancers that have sent nothing for longer get no Load messages, in milliseconds.
     constexpr Millis balancerIdleLimit = 2000;
-    /// How long peers may leave this process without news before it turns to the store itself, in milliseconds, at its start
-    /// and later.
+    /// How long this process may receive no gossip before it follows the store itself, in milliseconds: after its start,
+    /// and after the last gossip.
     constexpr Millis startPatience = 400;
     constexpr Millis newsPatience = 3000;
-    /// How long a leaving agent goes on carrying open flows, in milliseconds.
+    /// How long an agent that shuts down keeps carrying open flows, in milliseconds.
     constexpr Millis leaveTime = 400;
     constexpr Millis leaveMargin = 1000;
-    /// How long a leaving agent goes on to find out whether it has an upstream, in milliseconds: the first refused connections
-    /// and some turns.
+    /// How long an agent that shuts down keeps checking whether it has an upstream, in milliseconds: the time of the first
+    /// refused connections and a few ticks.
     constexpr Millis leaveLearningTime = 600;
-    /// Before an address may belong to another upstream, nothing more goes there, in milliseconds: a packet is delivered
-    /// within a few.
+    /// How long before an address may be reused by another upstream the agent stops sending to it, in milliseconds. A packet
+    /// is delivered within a few milliseconds.
     constexpr Millis reuseMargin = 100;
 
     HttpResponse jsonReply(int status, std::string body)
@@ -100,7 +100,7 @@
         handleFind(message, sender);
         return;
     }
-    // Who probes may be a neighbour, who needs no news of load.
+    // A probe may come from a neighbour, which needs no Load messages, so its sender is not recorded as a balancer.
     if (message.kind == wire::PeerKind::Probe) {
         handleForward(message, sender);
         return;
@@ -153,7 +153,7 @@
         m_state.fates.increment(AgentPacketFate::HandedBack);
         break;
     }
-    // Who probes has the packet still; who forwarded it gets it back.
+    // The sender of a Probe has kept the packet and gets only the answer; the sender of a Forward gets the packet back.
     if (const auto answer = answerToProbe(action); isProbe && answer)
         reply(m_state, sender, { .kind = peerKindOf(*answer), .flow = message.flow });
     else if (!isProbe && action == CallerPacketAction::NotHeld)
@@ -204,7 +204,7 @@
     }
 }
 
-// Requests that the upstream holds without an answer.
+// Checks for requests that the upstream has left unanswered for too long.
 void PacketAgent::reviewHealth(Millis now)
 {
     if (!m_state.gate.upstream || m_state.health.unanswered == 0)
@@ -214,7 +214,8 @@
         logEvent(Event::UpstreamFailing, { { "reason", "noAnswer" }, { "unanswered", m_state.health.unanswered }, { "brokenOff", m_state.health.failures }, { "atWork", m_state.flows.atWork }, { "reportAge", static_cast<std::uint64_t>(now - m_state.gate.reportedAt) } });
 }
 
-// The upstream does not hold the flow or cannot take it. That is certain, whatever the table says.
+// The upstream has returned a packet because it does not hold the flow or cannot accept it. This overrides the agent's own
+// flow table.
 void PacketAgent::handleReturned(const FlowKey& flow, std::span<std::uint8_t> packet, const PacketHead& head)
 {
     m_state.fates.increment(AgentPacketFate::Returned);
@@ -276,7 +277,8 @@
     announceState();
 }
 
-// Without an upstream nothing is held here, and a flow can be lost for certain.
+// Checks whether an upstream is running. Once it is known that there is none, this agent holds no flows and can deny every
+// flow for certain.
 void PacketAgent::lookForUpstream(Millis now)
 {
     if (m_former.isGone && !m_former.hasReport)
@@ -294,10 +296,10 @@
     m_contact.attempt({ upstream.address(), upstream.port() }, [this](ConnectionOutcome outcome) { noteConnection(m_former, outcome, m_state.role.clock.now()); });
 }
 
-// The upstream that an earlier process announced is not there. Its host may be taken away any moment without a word; the
-// name would stay behind, and each search wait for it. After a loss of power only the store knows the name, and this process
-// may hear of it, or from a peer that has read it there, long after it has missed its upstream. A report that comes later
-// announces the upstream anew.
+// Withdraws the entry that an earlier process announced for an upstream that is not running. The host may be removed at any
+// moment without notice; the entry would stay in the directory, and every search would wait for this agent. After a loss of
+// power only the store has the entry, and this process may learn of it, from the store or from a peer, long after it found
+// that its upstream is missing. A later report of the upstream announces it again.
 void PacketAgent::withdrawFormerEntry()
 {
     const PeerEntry entry = lastEntry();
@@ -305,7 +307,7 @@
         withdraw(entry, [] {});
 }
 
-// Tells peers that the agent of this entry is gone, and takes it out of the store.
+// Announces to peers that the agent of this entry is gone, and removes the entry from the store.
 const PeerEntry& PacketAgent::withdraw(PeerEntry entry, std::function<void()> done)
 {
     entry.state = PeerState::Gone;
@@ -313,8 +315,8 @@
     return m_state.network.announce(std::move(entry));
 }
 
-// A new process speaks for the upstream: it holds nothing of before. Callers are told at once, so that they open anew
-// instead of sending into a flow that nobody holds until their deadline.
+// A new upstream process holds none of the flows of the previous one. Their callers get a reset at once, so that they open new
+// flows instead of sending into lost ones until their deadlines.
 void PacketAgent::resetLostFlows()
 {
     const std::vector<LostFlow> lost = takeLostFlows(m_state.flows);
@@ -335,7 +337,8 @@
 
 void PacketAgent::announceState()
 {
-    // Who has said that it is gone stays so: it only waits for the store, and another word with a newer epoch would undo it.
+    // An agent that has announced that it is gone only waits for the store. Another announcement with a newer epoch would
+    // replace the state Gone at its peers.
     if (!m_state.gate.upstream || m_state.self.state == PeerState::Gone)
         return;
     const PeerState state = isServingNow() ? PeerState::Ready : PeerState::Draining;
@@ -387,8 +390,8 @@
         reply(m_state, balancer, { .kind = wire::PeerKind::Load });
 }
 
-// Peers bring the news as long as any of them reaches the store. Only a process that no peer has told anything turns to the
-// store itself, so that a fleet costs the store no more than its balancers do.
+// As long as any peer reaches the store, its changes arrive by gossip. An agent follows the store itself only when it
+// receives no gossip, so that the load of the store does not grow with the number of agents.
 void PacketAgent::followStoreIfAlone(Millis now)
 {
     const bool hasView = m_state.network.routes().version != 0 && m_state.network.outages().revision != 0;
@@ -409,7 +412,8 @@
         announceState();
     }
     const Millis leavingFor = now - m_leavingSince;
-    // Stopped before it knows that its upstream is gone, it would leave its entry behind, and every search would wait for it.
+    // An agent that stopped before it knows that its upstream is gone would leave its entry in the directory, and every search
+    // would wait for it.
     const bool isStillLearning = mayTurnOutGone(m_former) && leavingFor < leaveLearningTime;
     if (isStillLearning || (leavingFor < leaveTime && m_state.flows.open > 0)) {
         m_leaveTimer.start(turnInterval, [this, done = std::move(done)] { shutDown(done); });
@@ -428,14 +432,14 @@
     m_state.self = withdraw(entry, done);
 }
 
-// Only an upstream that is gone is taken out of the directory and the store: one that lives is announced again as soon as
-// its agent is back.
+// The entry is removed from the directory and the store only when the upstream is gone. The entry of a running upstream stays,
+// since the restarted agent would announce it again.
 bool PacketAgent::isUpstreamOver(Millis now) const
 {
     return m_former.isGone || (m_former.hasReport && !isServing(m_state.gate, now));
 }
 
-// What stands under this agent's name: its own announcement, or that of a process before it whose upstream never came back.
+// The entry under this agent's name: its own announcement, or that of an earlier process whose upstream did not come back.
 PeerEntry PacketAgent::lastEntry() const
 {
     if (!m_state.self.name.empty())
--- a/src/kingcuptraild/packets/packetagent.h
+++ b/src/kingcuptraild/packets/packetagent.h
@@ -10,8 +10,8 @@
 
 namespace kingcuptrail {
 
-/// The role beside an upstream for flows of plain datagrams, and the only way to it: admits opening packets, knows which
-/// flows its upstream holds, and carries the upstream's packets to the callers.
+/// The agent role for flows of plain datagrams. All packets to its upstream pass through it: it admits opening packets, tracks
+/// which flows the upstream holds, and sends the upstream's packets to the callers.
 class PacketAgent : public Role {
 public:
     PacketAgent(const RoleContext& role, const DeploymentAdapter& adapter);
--- a/src/kingcuptraild/packets/packetbalancer.cpp
+++ b/src/kingcuptraild/packets/packetbalancer.cpp
@@ -11,21 +11,21 @@
 
 namespace {
 
-    /// Between two looks at what waits, in milliseconds.
+    /// Interval of the periodic work, in milliseconds.
     constexpr Millis turnInterval = 20;
-    /// An agent that does not answer is asked again this often, in milliseconds.
+    /// How often agents that do not answer are pinged, in milliseconds.
     constexpr Millis pingInterval = 200;
-    /// Agents asked in one round.
+    /// Agents pinged in one round.
     constexpr std::size_t pingsInRound = 16;
-    /// A cached holder that was not used for longer is dropped, in milliseconds; above the idle limit of flows.
+    /// A cached holder that was not used for longer is removed, in milliseconds. Longer than the idle limit of flows.
     constexpr Millis holderIdleLimit = 25000;
     constexpr Millis sweepInterval = 5000;
-    /// After the process was told to stop, packets still come until the routers have noticed: two misses half a second
-    /// apart, and some time for the packets that are under way, in milliseconds.
+    /// How long routers may keep sending packets after the process was told to stop, in milliseconds: two failed readiness
+    /// checks half a second apart, and some time for packets in flight.
     constexpr Millis noticeTime = 1600;
-    /// No packet for this long means that the routers have noticed, in milliseconds.
+    /// Time without a packet after which the routers are assumed to have noticed, in milliseconds.
     constexpr Millis quietTime = 300;
-    /// What stays of the time to leave when the process ends by itself, in milliseconds.
+    /// How long before the end of the configured shutdown time the process ends by itself, in milliseconds.
     constexpr Millis leaveMargin = 1000;
 
 }
@@ -83,7 +83,7 @@
         m_state.fates.increment(PacketFate::Malformed);
         return;
     }
-    // Only upstreams answer openings, and only they hand packets back.
+    // Only upstreams acknowledge openings or return packets, so a caller cannot have sent these.
     if ((head->flags.opens && head->flags.acknowledges) || head->flags.isReturned) {
         m_state.fates.increment(PacketFate::Forged);
         return;
@@ -151,13 +151,14 @@
     m_turnTimer.start(turnInterval, [this] { turn(); });
 }
 
-// A few balancers follow the store and tell all others, so that a change costs the store some calls and not one for each
-// process. Without any view a process reads at once: nobody else may know more.
+// A few balancers follow the store and pass changes on to all other processes, so that a change costs the store a few calls
+// instead of one for each process. A process without any view does not wait to be chosen, since its peers may not have one
+// either.
 void PacketBalancer::followStore(Millis now)
 {
     const bool hasView = m_state.network.routes().version != 0 && m_state.network.outages().revision != 0;
-    // After a loss of everything nobody has a view. The first few to read hand it to the others, who would each fetch it
-    // from the store over a small link at the moment in which callers return.
+    // After a loss of all processes none of them has a view. The first few that read the store pass the view on; otherwise
+    // each process would fetch it from the store over a small link just when callers return.
     const bool isWithoutView = !hasView && isFirstReadDue(m_state.network.readers().options, now - m_state.startedAt, firstReadPatience(), m_state.network.isFetchingView());
     const bool isWanted = !m_isLeaving && (isWithoutView || (hasView && shouldRead(m_state.network.readers(), m_state.role.settings.name, m_store != nullptr, readerRank(), now)));
     if (isWanted && !m_store) {
@@ -171,7 +172,8 @@
     m_state.network.setReading(m_store && m_store->isCurrent());
 }
 
-// Whoever has just started asks its seeds first, so these read at once; the others know their rank by then.
+// Processes that have just started ask the seeds first, so the seeds read the store without a delay. The others know their
+// rank by the time that their delay has passed.
 Millis PacketBalancer::firstReadPatience()
 {
     const PacketSettings& settings = m_state.role.settings.packets;
@@ -203,7 +205,7 @@
     }
     for (const auto& [address, since] : m_state.silent.silentSince)
         quiet.push_back(address);
-    // Another few each time, so that a process that hears nobody does not add to its own load.
+    // Each round pings the next few agents, so that a process that receives no answers does not add to its own load.
     if (quiet.size() > pingsInRound) {
         std::rotate(quiet.begin(), quiet.begin() + static_cast<std::ptrdiff_t>(m_pingRound++ * pingsInRound % quiet.size()), quiet.end());
         quiet.resize(pingsInRound);
@@ -223,8 +225,8 @@
     std::erase_if(m_state.holders, [now](const auto& item) { return now - item.second.usedAt > holderIdleLimit; });
 }
 
-// Routers keep sending until they have noticed that this process is not ready. What they send until then is carried, so
-// that no caller waits for a copy of its packet.
+// Routers keep sending until they notice that this process is not ready. Packets that arrive until then are still handled, so
+// that no caller has to retransmit.
 void PacketBalancer::shutDown(std::function<void()> done)
 {
     const Millis now = m_state.role.clock.now();
--- a/src/kingcuptraild/packets/packetbalancer.h
+++ b/src/kingcuptraild/packets/packetbalancer.h
@@ -8,8 +8,8 @@
 
 namespace kingcuptrail {
 
-/// The role of an entry host for flows of plain datagrams: offers opening packets to agents, and brings every other packet
-/// to the agent that holds its flow. Keeps only a cache of who holds what; a flow that is not in it is asked for.
+/// The balancer role of an entry host for flows of plain datagrams: offers opening packets to agents, and forwards every other
+/// packet to the agent that holds its flow. It keeps only a cache of flow holders and queries the agents for other flows.
 class PacketBalancer : public Role {
 public:
     PacketBalancer(const RoleContext& role, const DeploymentAdapter& adapter);
@@ -38,7 +38,7 @@
     HolderFinder m_finder;
     PeerLookup m_lookup;
     std::unique_ptr<StoreFollower> m_store;
-    /// Calls of followers that ended.
+    /// Calls made by store followers that have ended.
     std::uint64_t m_storeCalls = 0;
     std::unique_ptr<DatagramSocket> m_ingress;
     bool m_isStarted = false;
--- a/src/kingcuptraild/packets/packetrolestate.h
+++ b/src/kingcuptraild/packets/packetrolestate.h
@@ -6,7 +6,7 @@
 
 namespace kingcuptrail {
 
-/// What the parts of every packet role share: the process they run in and what it knows of the deployment.
+/// State shared by the parts of every packet role: the process's context, the deployment adapter and the network of peers.
 struct PacketRoleState {
     PacketRoleState(const RoleContext& roleContext, const DeploymentAdapter& deployment)
         : role(roleContext)
--- a/src/kingcuptraild/packets/pausemeter.cpp
+++ b/src/kingcuptraild/packets/pausemeter.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-    /// A process that has not run for longer than this was paused, in milliseconds: seven turns of the 100 ms timer that
-    /// notes it, which a busy host makes late by two or three at the most.
+    /// A process that has not run for longer than this was paused, in milliseconds: seven periods of the 100 ms timer that
+    /// records activity. On a busy host the timer is late by two or three periods at the most.
     constexpr Millis longestGap = 700;
-    /// News counts only when it comes this long after a pause, in milliseconds: what waited in the socket since before the
-    /// pause has been read by then.
+    /// Gossip counts only when it is received this long after a pause, in milliseconds. Messages that waited in the socket
+    /// during the pause have been read by then.
     constexpr Millis backlogTime = 200;
 
     Millis suspendAwareNow()
--- a/src/kingcuptraild/packets/pausemeter.h
+++ b/src/kingcuptraild/packets/pausemeter.h
@@ -4,16 +4,17 @@
 
 namespace kingcuptrail {
 
-/// Tells whether this process, or its whole host, stood still: by a clock that goes on while the host is suspended, which
-/// the clock of timers does not. Until news has come since, what the process knows may be as old as the pause was long.
+/// Detects that this process or its host was paused, with a clock that also runs while the host is suspended (the clock of
+/// timers does not). After a pause, the state of the process may be as old as the pause was long until a peer
+/// sends gossip.
 class PauseMeter {
 public:
     PauseMeter();
 
-    /// Notes that the process runs; to be called regularly and before each decision. True when a pause has just ended.
+    /// Records that the process is running; to be called regularly and before each decision. True when a pause has just ended.
     bool noteRunning();
 
-    /// Notes that a peer told its news.
+    /// Records that a peer's gossip message was received.
     void noteNews();
 
     bool isInDoubt() const { return m_isInDoubt; }
--- a/src/kingcuptraild/packets/peerlookup.cpp
+++ b/src/kingcuptraild/packets/peerlookup.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-    /// How long seeds may leave a process without news, in milliseconds: some round trips.
+    /// How long a process waits for an answer of its seeds, in milliseconds: a few round trips.
     constexpr Millis seedPatience = 15;
-    /// Peers that are asked at once when some are found.
+    /// Peers that are asked for their gossip once the store has named some.
     constexpr std::size_t peersAsked = 4;
 
 }
@@ -39,7 +39,7 @@
 {
     std::vector<PeerEntry> entries;
     for (const PlatformObject& object : objects.objects) {
-        // Whoever follows the store logs what cannot be read.
+        // Entries that cannot be parsed are logged by the processes that follow the store.
         if (auto entry = object.value ? parsePeerEntry(*object.value) : std::nullopt)
             entries.push_back(std::move(*entry));
     }
--- a/src/kingcuptraild/packets/peerlookup.h
+++ b/src/kingcuptraild/packets/peerlookup.h
@@ -5,14 +5,14 @@
 
 namespace kingcuptrail {
 
-/// Finds peers in the store for a process that no seed answers. After a restart of everything the seeds may be the last to
-/// start, or gone, and whoever knows nobody else would have to read the whole store itself.
+/// Finds peers in the store for a process whose seeds do not answer. When all processes restart together, the seeds may start
+/// last or be gone, and a process that knows no other peer would have to read the whole store itself.
 class PeerLookup {
 public:
     PeerLookup(asio::io_context& context, const PlatformOptions& options, PeerNetwork& network);
 
-    /// Looks once, when the process has heard nothing `sinceStart` milliseconds after its start; to be called several times a
-    /// second.
+    /// Reads the agents from the store once, if no peer has sent gossip by then; to be called several times a second.
+    /// `sinceStart` is the age of the process in milliseconds.
     void turn(Millis sinceStart);
 
     std::uint64_t callsMade() const { return m_client.callsMade(); }
--- a/src/kingcuptraild/packets/peernetwork.cpp
+++ b/src/kingcuptraild/packets/peernetwork.cpp
@@ -8,25 +8,28 @@
 
 namespace {
 
-    /// Between two rounds of news, in milliseconds, and the peers told in each. Whoever missed a change hears of it within
-    /// about a second; a process sends and receives 8 datagrams of some 150 bytes a second, however large the fleet is.
+    /// Time between two rounds of gossip, in milliseconds, and the receivers in each. A process that missed a change
+    /// learns of it within about a second. Each process sends and receives 8 datagrams of about 150 bytes a second, however
+    /// many processes there are.
     constexpr Millis tellInterval = 250;
     constexpr std::size_t tellCount = 2;
-    /// Peers told at once of a change: with eight each, 5,000 processes have heard after five rounds.
+    /// Peers to which a change is sent at once. With eight each, 5,000 processes know it after five rounds.
     constexpr std::size_t changeCount = 8;
-    /// Peers that an announcement is passed on to: with two each it reaches nearly everybody, and rounds of news the rest.
+    /// Peers to which a received announcement is passed on. With two each it reaches nearly all processes, and the periodic
+    /// rounds reach the rest.
     constexpr std::size_t relayCount = 2;
-    /// While a process knows nothing yet it asks this often, in milliseconds: each round costs three datagrams, and the
-    /// answer decides when the process begins to serve.
+    /// Time between two rounds while a process has no configuration or has received no gossip, in milliseconds. A round costs
+    /// three datagrams, and the process can serve only after an answer.
     constexpr Millis firstTellInterval = 50;
-    /// A peer that does not answer a fetch for so long, or stops in the middle, is left for another one, in milliseconds.
+    /// Idle time after which a fetch is cancelled, in milliseconds: the peer does not answer, or stops in the middle. The view
+    /// is then fetched from another peer.
     constexpr Millis fetchSilence = 400;
-    /// The whole of a fetch, in milliseconds: the largest configuration over a link of 2 Mbit/s that carries callers' packets
-    /// as well. A limit within which no fetch ends would have the same bytes sent again and again.
+    /// Time limit of a whole fetch, in milliseconds: enough for the largest configuration over a link of 2 Mbit/s that carries
+    /// callers' packets as well. With a limit that a slow link cannot meet, the same bytes would be sent again and again.
     constexpr Millis fetchLimit = 3000;
-    /// Announcements that one datagram of news carries.
+    /// The most directory entries that one gossip message carries.
     constexpr std::size_t entriesInNews = 6;
-    /// The running clock is read this often, in milliseconds.
+    /// How often the process checks for a pause, in milliseconds.
     constexpr Millis runningInterval = 100;
 
 }
@@ -111,16 +114,17 @@
         return;
     noteDirectoryChanged();
     logEvent(Event::PeerChanged, { { "peer", entry.name }, { "role", nameOf(entry.role) }, { "state", nameOf(entry.state) }, { "epoch", entry.epoch } });
-    // Agents tell every balancer themselves, and pass each other's word on.
+    // An agent announces itself to every balancer, so balancers do not pass its entry on. Agents do.
     const bool isToldToAll = entry.role == PeerRole::Agent && m_self.role == PeerRole::Balancer;
-    // Whoever receives it compares digests with its own and asks if they differ; an answer to each copy would only tell
-    // what the sender knows already.
+    // No answer is requested: a receiver whose digest differs compares directories anyway, and an answer to each copy would
+    // only repeat what the sender knows.
     if (!isToldToAll)
         tellSome(relayCount, { entry }, false);
 }
 
-// After a loss of everything each process learns of all others at once. Passed on and logged one by one, 84 entries in 84
-// processes kept balancers from answering for half a second; whoever lacks one of them finds out by the digest.
+// After a restart of all processes each of them learns of all others at once. Passing on and logging the entries one by one
+// blocks balancers for half a second with 84 processes, so a list is neither passed on nor logged by entry. A peer that lacks
+// one of the entries detects it by the digest.
 void PeerNetwork::takeEntries(const std::vector<PeerEntry>& entries)
 {
     std::vector<const PeerEntry*> taken;
@@ -131,7 +135,7 @@
     if (taken.empty())
         return;
     noteDirectoryChanged();
-    // Among them may be balancers that this process did not know when it announced itself.
+    // The list may contain balancers that this process did not know when it announced itself.
     for (const PeerEntry* entry : taken)
         tellIfBalancer(*entry);
     logEvent(Event::DirectoryTaken, { { "entries", entries.size() }, { "new", taken.size() }, { "known", m_directory.entries.size() } });
@@ -146,7 +150,8 @@
 bool PeerNetwork::noteEntry(const PeerEntry& entry)
 {
     if (entry.name == m_self.name && !m_self.name.empty()) {
-        // An announcement from before this process's start that is not below its own: the time of day may have jumped.
+        // The entry is an announcement of an earlier process with an epoch that is not lower than the current one: the wall
+        // clock may have been set back.
         if (entry.epoch >= m_self.epoch && entry != m_self) {
             m_self.epoch = entry.epoch + 1;
             announce(m_self);
@@ -172,9 +177,9 @@
     return m_self;
 }
 
-// Passed on from peer to peer, an announcement misses some processes, which hear of it a few tenths of a second later. A
-// balancer among them would not ask a new agent for the flows that others have already opened there; so an agent tells each
-// balancer itself, a datagram each.
+// An announcement that is passed on from peer to peer misses some processes, which learn of it some tenths of a second later.
+// A balancer among them would not ask a new agent for flows that other balancers have already opened there. An agent therefore
+// announces itself to each balancer directly, with one datagram each.
 void PeerNetwork::tellIfBalancer(const PeerEntry& entry)
 {
     const bool isAnnounced = m_self.role == PeerRole::Agent && !m_self.name.empty();
@@ -285,7 +290,8 @@
     return near;
 }
 
-// One neighbour and one process anywhere: news crosses data centres as often as before, and half of its bytes stay within.
+// Of the two receivers of a round, one is in the same data centre and the other is any peer: half of the bytes stay within the
+// data centre, and gossip still spreads between data centres.
 void PeerNetwork::tellNearAndFar()
 {
     const std::vector<PeerEntry> own = m_self.name.empty() ? std::vector<PeerEntry> {} : std::vector { m_self };
@@ -334,8 +340,8 @@
     m_socket->send(m_encoder.encode(news), peerEndpoint(address));
 }
 
-// Every search for a lost flow stays uncertain while directories differ. A comparison costs bytes in proportion to the
-// difference, so it needs no patience, however many entries the directory has.
+// No search can end with a flow declared lost while directories differ. The bytes of a comparison grow with the difference and
+// not with the size of the directory, so that it can be repeated at short intervals.
 void PeerNetwork::compareDirectory(std::uint32_t address)
 {
     const Millis now = m_clock.now();
@@ -350,7 +356,7 @@
     m_socket->send(m_encoder.encode(DigestsMessage { .configVersion = m_view.routes.version, .digests = partDigestsOf(m_directory), .wantsAnswer = wantsAnswer, .differsMuch = differsMuch }), peerEndpoint(address));
 }
 
-// The entries go first: of what the peer sends back then, nothing is what it has just been told.
+// The entries are sent before the digests, so that the peer's answer does not repeat entries that it has just received.
 void PeerNetwork::handleDigests(const PeerMessage& message, std::uint32_t sender)
 {
     const DirectoryDifference difference = differenceTo(m_directory, digestsOf(message));
@@ -359,7 +365,8 @@
         const auto begin = difference.entries.begin() + static_cast<std::ptrdiff_t>(first);
         tell(sender, { begin, begin + static_cast<std::ptrdiff_t>(count) }, false);
     }
-    // Who holds much that the other lacks sees it first, and has nothing to fetch itself.
+    // A large difference is seen first by the process that has the entries and needs no fetch itself, so it tells the peer,
+    // which then fetches the directory.
     const bool isAnswer = !message.table->wants_answer();
     if (!isAnswer || (difference.isLarge && !message.table->differs_much()))
         sendDigests(sender, false, difference.isLarge);
@@ -409,7 +416,7 @@
     m_fetchSilence.start(fetchSilence, [this] { giveUpFetch(); });
 }
 
-// A process that stands still accepts a connection and does not answer.
+// A paused peer still accepts connections but does not answer.
 void PeerNetwork::giveUpFetch()
 {
     if (m_fetch)
--- a/src/kingcuptraild/packets/peernetwork.h
+++ b/src/kingcuptraild/packets/peernetwork.h
@@ -17,7 +17,7 @@
 
 namespace kingcuptrail {
 
-/// Messages between processes that were not taken, and why.
+/// Why a message or view of a peer was not applied.
 enum class PeerTrouble : std::uint8_t {
     Malformed,
     ViewFetchFailed,
@@ -29,16 +29,16 @@
     static constexpr std::array<std::string_view, 3> names { "malformed", "viewFetchFailed", "viewMalformed" };
 };
 
-/// What a process knows of the whole deployment, and how it learns and tells it: configuration, outages and the directory
-/// of processes. Each process tells a few others, drawn anew each time, which versions it has; whoever is behind fetches
-/// the view over TCP. So news from the store reaches a process that the store turns away, at a cost for each process that
-/// does not grow with the fleet.
+/// A process's view of the whole deployment (configuration, outages and the directory of processes) and the gossip protocol
+/// that spreads it. Each process regularly sends the versions of its view to a few random peers in a gossip message (wire
+/// kind News); a peer that is behind fetches the view over TCP. Changes in the store thus reach processes that cannot reach
+/// the store, at a cost for each process that does not grow with the number of processes.
 class PeerNetwork {
 public:
     struct Handlers {
-        /// A message about a flow, from the host with this address.
+        /// Called for a message about a flow, from the host with this address.
         std::function<void(const PeerMessage&, std::uint32_t sender)> onFlowMessage;
-        /// `returned` names the data centres that were out and are no more.
+        /// Called when the outages change; `returned` names the data centres that were out and no longer are.
         std::function<void(const std::vector<std::string>& returned)> onOutages;
     };
 
@@ -47,7 +47,7 @@
     PeerNetwork(const PeerNetwork&) = delete;
     PeerNetwork& operator=(const PeerNetwork&) = delete;
 
-    /// Binds the sockets and begins to tell news; false when an address is taken.
+    /// Binds the sockets and starts to send gossip; false when an address cannot be bound.
     bool start(Handlers handlers);
 
     const RouteTable& routes() const { return m_view.routes; }
@@ -55,22 +55,22 @@
     const Directory& directory() const { return m_directory; }
     DeploymentView view() const;
 
-    /// News from the store or a peer; older news changes nothing.
+    /// Apply state from the store or a peer, unless it is older than what is known.
     void takeRoutes(RouteTable routes);
     void takeOutages(OutageView outages);
     void takeEntry(const PeerEntry& entry);
-    /// Many at once, as the store or a peer's view holds them.
+    /// Applies a whole list of entries, as the store or a peer's view holds it.
     void takeEntries(const std::vector<PeerEntry>& entries);
 
-    /// Asks a few peers what they know.
+    /// Sends a gossip message that asks for an answer; the receivers are `count` random peers.
     void askSome(std::size_t count) { tellSome(count, {}); }
 
-    /// Announces this process. Its epoch is set here, above every announcement under its name.
+    /// Announces this process to its peers. Sets the epoch above that of every known announcement under its name.
     const PeerEntry& announce(PeerEntry self);
     const PeerEntry& self() const { return m_self; }
     std::uint32_t ownAddress() const { return m_ownAddress; }
 
-    /// Who follows the store, as far as news tells; and whether this process is one of them.
+    /// The processes that follow the store, as known from gossip, and whether this process is one of them.
     StoreReaders& readers() { return m_readers; }
     void setReading(bool isReading);
 
@@ -80,13 +80,14 @@
     /// Sends a packet as it is, to a caller or an upstream.
     void sendPacket(std::span<const std::uint8_t> packet, const asio::ip::udp::endpoint& receiver);
 
-    /// Whether a peer is handing over its view.
+    /// Whether a fetch of a peer's view is in progress.
     bool isFetchingView() const { return m_fetch != nullptr; }
-    /// Whether this process stood still and has not heard since what changed meanwhile.
+    /// Whether this process was paused and has received no gossip since. Also detects a pause that has just ended, and asks
+    /// peers for their gossip then.
     bool isInDoubt();
-    /// Whether the last peer that told news knows exactly the agents that this process knows.
+    /// Whether the last peer that sent gossip knows exactly the agents that this process knows.
     bool isDirectoryConfirmed() const;
-    /// A peer is known to have another directory: both are to learn what they lack.
+    /// Exchanges missing entries with a peer whose directory is known to differ.
     void compareDirectory(std::uint32_t address);
     Millis lastNewsAt() const { return m_lastNewsAt; }
 
@@ -137,11 +138,11 @@
     PauseMeter m_pause;
     Millis m_lastNewsAt = 0;
     ViewFetching m_fetching;
-    /// A peer that named a newer configuration while a fetch was under way, and its version.
+    /// The peer that named a newer configuration while a fetch was in progress, and its version.
     std::uint32_t m_newerAt = 0;
     ConfigVersion m_newerVersion = 0;
     Millis m_comparedAt = 0;
-    /// On who the agents are.
+    /// Whether peers know the same agents.
     DirectoryAgreement m_agentsAgreement;
     EnumCounters<PeerTrouble> m_trouble;
 };
--- a/src/kingcuptraild/packets/storefollower.cpp
+++ b/src/kingcuptraild/packets/storefollower.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-    /// How often the agents' announcements are read again, in milliseconds. Processes tell each other at once; the store is
-    /// for those that no peer has told.
+    /// How often the agents' entries are read again, in milliseconds. Processes announce changes to each other at once; the
+    /// store is only for processes that no peer has reached.
     constexpr Millis agentsInterval = 5000;
-    /// How often the store is asked for a sign of life, and how long its answer may take, in milliseconds. A silence shows
-    /// within one and a half seconds; others take over within one more, and a change has to be in force after three. A store
-    /// that is eighty times slower than usual still answers in time (0.3 s). The calls are of the kind that may be answered
-    /// with old data, at a tenth of the price: 120 a minute for each of three followers.
+    /// Interval and timeout of the store's liveness check, in milliseconds. A store that does not answer is detected within
+    /// 1.5 s and other processes take over within another second, so that a change is in force within the required 3 s. A
+    /// store that is 80 times slower than usual still answers in time (0.3 s). Each of the three followers makes 120 calls a
+    /// minute; they allow stale answers, which cost the store a tenth.
     constexpr Millis pulseInterval = 500;
     constexpr Millis pulseTimeout = 1000;
 
@@ -86,7 +86,7 @@
     };
 }
 
-// When the store answers again, what was waited for before its silence may never be answered.
+// Watches that were pending while the store did not answer may never be answered, so they are restarted when it answers again.
 KindWatcher::Handlers StoreFollower::pulseHandlers()
 {
     return {
@@ -149,8 +149,8 @@
     removeLeftBehind(leftBehind);
 }
 
-// What two listings in a row show: a leaver withdraws by itself within seconds, and a listing may be some seconds old. The
-// condition on the version keeps an announcement that was written anew.
+// Removes only entries that two consecutive listings show with the same version: an agent that leaves withdraws its entry
+// itself within seconds, and a listing may be some seconds old. The version condition keeps an entry that was written again.
 void StoreFollower::removeLeftBehind(const std::map<std::string, ObjectVersion>& leftBehind)
 {
     for (const auto& [name, version] : leftBehind) {
--- a/src/kingcuptraild/packets/storefollower.h
+++ b/src/kingcuptraild/packets/storefollower.h
@@ -9,19 +9,19 @@
 
 namespace kingcuptrail {
 
-/// Kind of the agents' announcements in the store.
+/// Kind of the agents' directory entries in the store.
 constexpr const char* agentKind = "agent";
 
-/// Follows what the store holds of the deployment and hands it to the process's network of peers: configuration, outages,
-/// and the announcements of agents.
+/// Follows the configuration, the outages and the agents' directory entries in the store and passes them to the process's
+/// network of peers.
 class StoreFollower {
 public:
     StoreFollower(asio::io_context& context, const PlatformOptions& options, const DeploymentAdapter& adapter, PeerNetwork& network);
 
-    /// Whether what it told is what the store holds now, as far as a waiting watch can know.
+    /// Whether the configuration and outages passed on are those that the store holds now, as far as a pending watch can tell.
     bool isCurrent() const { return m_routes.isCurrent() && m_outages.isCurrent() && m_pulse.isCurrent(); }
 
-    /// The first of the watches' last failures, or None.
+    /// The last failure of the first watcher that has one, or None.
     PlatformError lastReason() const;
     std::uint64_t callsMade() const;
 
@@ -39,17 +39,17 @@
 
     const DeploymentAdapter& m_adapter;
     PeerNetwork& m_network;
-    /// Data centres that have an entry among the outages.
+    /// Data centres that are marked as out in the store.
     std::vector<std::string> m_out;
     PlatformError m_loggedTrouble = PlatformError::None;
     KindWatcher m_routes;
     KindWatcher m_outages;
     KindWatcher m_agents;
-    /// A call that the store answers at once, made again and again: a store that turns this host away without a word answers
-    /// nothing, and to those who wait for changes that looks like quiet.
+    /// Liveness check: a periodic call that the store answers at once. A pending watch cannot tell a store that no longer
+    /// answers this host from one without changes.
     KindWatcher m_pulse;
     bool m_isSilent = false;
-    /// Announcements of processes that are gone, as of the last listing.
+    /// Entries of processes that are gone, with their versions, as of the last listing.
     std::map<std::string, ObjectVersion> m_leftBehind;
     PlatformClient m_cleaner;
 };
--- a/src/kingcuptraild/packets/upstreamcontact.cpp
+++ b/src/kingcuptraild/packets/upstreamcontact.cpp
@@ -17,7 +17,7 @@
         if (alive.expired())
             return;
         m_isBusy = false;
-        // A socket whose connection failed is not to be used again; closing has nothing to report here.
+        // A socket cannot be reused after a failed connection. An error of close() does not matter here.
         asio::error_code ignored;
         m_socket.close(ignored);
         if (!error)
--- a/src/kingcuptraild/packets/upstreamcontact.h
+++ b/src/kingcuptraild/packets/upstreamcontact.h
@@ -8,18 +8,20 @@
 
 namespace kingcuptrail {
 
-/// Tries whether anybody listens at the upstream's address. Sends nothing: whether the connection is refused says all.
+/// Checks with a TCP connection whether a process listens at the upstream's address. No data is sent: it is enough to know
+/// whether the connection is accepted or refused.
 class UpstreamContact {
 public:
     explicit UpstreamContact(asio::io_context& context);
 
-    /// Connects and closes; nothing while an attempt is under way. `onDone` is not called after this object is gone.
+    /// Connects and closes the connection; does nothing while an attempt is in progress. `onDone` is not called after this
+    /// object is destroyed.
     void attempt(const asio::ip::tcp::endpoint& upstream, std::function<void(ConnectionOutcome)> onDone);
 
 private:
     asio::ip::tcp::socket m_socket;
     bool m_isBusy = false;
-    /// Tells a handler that its owner is gone.
+    /// Expires with this object, so that a pending handler can detect its destruction.
     std::shared_ptr<bool> m_isAlive = std::make_shared<bool>(true);
 };
 
