--- a/tests/trustplatform/testpacketagent.cpp
+++ b/tests/trustplatform/testpacketagent.cpp
@@ -9,7 +9,7 @@
 
 using namespace kingcuptrail;
 
-/// One agent with its upstream's addresses, a store, and a peer that asks it and hears its news.
+/// One agent with its upstream's addresses, a store, and a peer that sends it questions and receives its gossip.
 class TestPacketAgent : public PlatformFixture {
     CPPUNIT_TEST_SUITE(TestPacketAgent);
     CPPUNIT_TEST(endsWithoutItsAddresses);
@@ -44,7 +44,7 @@
         return asio::ip::address_v4({ 127, 83, 1, number });
     }
 
-    /// A port that is free on the first host; all processes of a deployment use the same one.
+    /// A port that is free on the first host. All processes of a deployment listen on the same port.
     std::uint16_t freePort()
     {
         return asio::ip::udp::socket(m_context, { host(1), 0 }).local_endpoint().port();
@@ -77,7 +77,7 @@
         runUntil(m_context, [&isDone] { return isDone; });
     }
 
-    /// The agent as the peer knows it.
+    /// The agent's state in the peer's directory.
     static std::optional<PeerState> stateIn(const PeerNetwork& peer)
     {
         const auto& entries = peer.directory().entries;
@@ -103,9 +103,9 @@
         CPPUNIT_ASSERT(!second.agent.isStarted());
     }
 
-    // An upstream leaves, and its agent is told to stop while the store turns it away. It tells its peers that it is gone and
-    // tries to withdraw. A turn later it announced itself as draining again, with a newer epoch, and then ended: peers
-    // waited for its answers, and nobody took its name out of the store.
+    // Guards against an agent that announces itself again after it has announced that it is gone. While the store was down,
+    // the agent waited for the withdrawal of its entry, and its next periodic announcement said "draining" with a newer
+    // epoch. The process then ended, so peers kept waiting for its answers and its entry stayed in the store.
     void leaverStaysGoneWhileTheStoreIsAway()
     {
         const std::uint16_t port = freePort();
@@ -121,15 +121,15 @@
         m_server->setFaults({ .down = true });
         agent.agent.shutDown([] {});
         runUntil(m_context, [&peer] { return stateIn(peer) == PeerState::Gone; });
-        // Its news of some rounds later: its turns come more often.
+        // Waits for gossip that is sent several rounds later. The agent's own periodic work runs more often than that.
         constexpr Millis someRounds = 600;
         const Millis goneAt = peer.lastNewsAt();
         runUntil(m_context, [&peer, goneAt] { return peer.lastNewsAt() > goneAt + someRounds; });
         CPPUNIT_ASSERT(stateIn(peer) == PeerState::Gone);
     }
 
-    // Guards against entries of hosts that came back without their upstream and were then taken away: learnt from the store
-    // later, such an entry kept every search for a lost flow open.
+    // Guards against the store entry of a host that restarted without its upstream and was then removed: processes that read
+    // the entry later would keep every search for a lost flow open, waiting for that agent.
     void missingUpstreamWithdrawsAnEntryThatOnlyTheStoreKnows()
     {
         const std::uint16_t port = freePort();
@@ -149,8 +149,8 @@
         runUntil(m_context, [this] { return m_server->store().get("agent", "agent-1").has_value(); });
     }
 
-    // Guards against entries of hosts that came back without their upstream and were taken away at once: every search for a lost
-    // flow waited for such an agent until each balancer had found out for itself that it is silent.
+    // Guards against the directory entry of a host that restarted without its upstream and was removed at once: every search
+    // for a lost flow would wait for its agent until each balancer had noticed by itself that the agent is silent.
     void agentStoppedBeforeItKnowsWithdrawsItsEntry()
     {
         const std::uint16_t port = freePort();
@@ -169,8 +169,8 @@
         runUntil(m_context, [&peer] { return stateIn(peer) == PeerState::Gone; });
     }
 
-    // An agent was restarted beside its upstream. A caller's packet that it delivers to learn is kept, so it knows the flow;
-    // the next one, which a balancer without the flow in its cache sends to all unsure agents, has to bring a yes.
+    // An agent that was restarted beside its upstream learns a flow when the upstream keeps the first probe. Guards against
+    // further probes of that flow without an answer: a balancer that does not have the flow in its cache waits for one.
     void probeOfAKnownFlowIsAnswered()
     {
         const std::uint16_t port = freePort();
@@ -194,7 +194,8 @@
         }
     }
 
-    /// A process of the same data centre that counts what it is sent and answers questions about flows with yes.
+    /// A process of the same data centre that records the messages it receives and, if `holdsFlows`, answers that it holds
+    /// every flow it is asked for.
     struct Neighbour {
         Neighbour(asio::io_context& context, const Settings& neighbourSettings, PeerRole role, bool holdsFlows)
             : settings(neighbourSettings)
@@ -221,8 +222,8 @@
         std::uint32_t holder = 0;
     };
 
-    /// Asks agent-1 for its data centre, which the agent knows nothing of, with this packet or without; the kind of question
-    /// that reached its neighbour, who holds the flow. The answer names that neighbour.
+    /// Asks agent-1, which does not know the flow, for its whole data centre, with or without a packet. Checks that its
+    /// neighbour, which holds the flow, receives a message of the kind `expected` and is named as holder in the answer.
     void expectNeighbourIsAsked(std::span<const std::uint8_t> packet, wire::PeerKind expected)
     {
         const std::uint16_t port = freePort();
@@ -240,15 +241,17 @@
         CPPUNIT_ASSERT(neighbour.wasSent(expected));
     }
 
-    // All agents have been restarted beside their upstreams, and a caller's packet has to find its flow. Its balancer has a
-    // small link and sends it to one agent only; it is that one who brings it to the others of its data centre.
+    // When all agents were restarted beside their upstreams, only a packet of a flow shows which upstream holds it. Guards
+    // against a packet that reaches only the agent to which the balancer sent it: that agent has to copy it to the others of
+    // its data centre, because the balancer's link is too small for a copy to each of them.
     void agentBringsAPacketToItsNeighbours()
     {
         expectNeighbourIsAsked(callerPacket(), wire::PeerKind::Probe);
     }
 
-    // Some seconds after such a restart agents have learnt their flows again, and still cannot say no. One of them that is
-    // asked for its data centre said so at once, and the packet was copied to all, though a neighbour knew the flow.
+    // Some seconds after such a restart agents have learnt active flows again but cannot yet deny others. Guards against an
+    // agent that answers for its data centre that it is unsure without asking its neighbours: the packet is then copied to all
+    // agents although one of them knows the flow.
     void unsureAgentAsksItsNeighboursStill()
     {
         expectNeighbourIsAsked({}, wire::PeerKind::Find);
--- a/tests/trustplatform/testpeerlookup.cpp
+++ b/tests/trustplatform/testpeerlookup.cpp
@@ -35,8 +35,8 @@
         return asio::ip::udp::socket(m_context, { host(1), 0 }).local_endpoint().port();
     }
 
-    // Guards against balancers that wait for seeds which start last, and then read the whole store each: an agent that the
-    // store names has the view already.
+    // Guards against balancers that each read the whole store because their seeds start last: an agent that the store names
+    // already has the view.
     void viewComesFromAPeerThatOnlyTheStoreNames()
     {
         const std::uint16_t port = freePort();
--- a/tests/trustplatform/testpeernetwork.cpp
+++ b/tests/trustplatform/testpeernetwork.cpp
@@ -8,7 +8,7 @@
 
 using namespace kingcuptrail;
 
-/// Processes that learn from each other, or from a peer that this test plays.
+/// Processes that exchange views with each other or with a simulated peer.
 class TestPeerNetwork : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(TestPeerNetwork);
     CPPUNIT_TEST(configurationArrivesOverAThinLink);
@@ -47,7 +47,7 @@
         PeerNetwork network;
     };
 
-    /// A peer that names a newer configuration and sends its view in pieces with pauses, or not at all.
+    /// A simulated peer that names a newer configuration and sends its view in pieces with pauses, or not at all.
     class ThinPeer {
     public:
         ThinPeer(asio::io_context& context, unsigned char number, std::uint16_t port)
@@ -104,8 +104,8 @@
         bool m_hasConnection = false;
     };
 
-    // Guards against a limit for the whole of a fetch within which a thin link never gets a configuration: the same bytes were
-    // sent again and again, and the link was full of them.
+    // Guards against a time limit for a whole fetch that a slow link cannot meet: the same bytes were sent again and again and
+    // filled the link, and the configuration never arrived.
     void configurationArrivesOverAThinLink()
     {
         const std::uint16_t port = freePort();
@@ -119,7 +119,7 @@
         CPPUNIT_ASSERT(process.metrics().find(R"(reason="viewFetchFailed"} 0)") != std::string::npos);
     }
 
-    // Guards against a process that stays behind since the peer that it asks stands still.
+    // Guards against a process that stays behind because the peer from which it fetches the view is paused.
     void peerThatDoesNotAnswerIsLeftSoon()
     {
         const std::uint16_t port = freePort();
@@ -129,7 +129,7 @@
         runUntil(m_context, [&peer] { return peer.hasConnection(); });
         const Millis connectedAt = process.clock.now();
         runUntil(m_context, [&process] { return process.metrics().find(R"(reason="viewFetchFailed"} 1)") != std::string::npos; });
-        // A third of the shortest time in which a change has to be in force everywhere.
+        // A third of the shortest time within which a change has to be in force everywhere.
         CPPUNIT_ASSERT(process.clock.now() - connectedAt < 1000);
     }
 
@@ -141,8 +141,8 @@
         return agents;
     }
 
-    // Guards against a process that has just started and stays without the others, since the peer that sees how much it lacks
-    // has nothing to learn from it.
+    // Guards against a process that has just started and keeps an almost empty directory: only the peer sees how large the
+    // difference is, but it lacks almost nothing itself and so fetches nothing.
     void processThatKnowsNobodyLearnsEverybody()
     {
         const std::uint16_t port = freePort();
@@ -155,7 +155,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t { 101 }, first.network.directory().entries.size());
     }
 
-    // Guards against directories that stay apart, each with an entry that the other lacks.
+    // Guards against directories that stay different when each has an entry that the other lacks.
     void processesLearnFromEachOtherWhatTheyLack()
     {
         const std::uint16_t port = freePort();
--- a/tests/trustplatform/teststorefollower.cpp
+++ b/tests/trustplatform/teststorefollower.cpp
@@ -10,7 +10,7 @@
     CPPUNIT_TEST(changeDuringTheSilenceIsTakenAfterIt);
     CPPUNIT_TEST_SUITE_END();
 
-    /// A process that follows the store as a deployment does: it waits long for changes.
+    /// A process that follows the store with the long watch times of a real deployment.
     struct Reader {
         Reader(asio::io_context& context, PlatformOptions options)
             : network(context, settings, clock)
@@ -29,23 +29,24 @@
         std::unique_ptr<StoreFollower> follower;
     };
 
-    /// Leaves the reader's calls without an answer, those that wait already too.
+    /// Makes the store leave the reader's calls unanswered, including pending watches.
     void turnAway() { m_server->setFaults({ .down = true, .hang = true, .downFor = "front-1" }); }
 
-    // The store turns the hosts of all processes that follow it away, without a word: connections stay, calls are not
-    // answered. A configuration was accepted meanwhile, and nobody in the deployment heard of it for nine seconds, since
-    // those who wait for changes cannot tell silence from quiet and went on telling that they follow the store.
+    // Guards against a store that stops answering the processes that follow it while connections stay open. A pending watch
+    // cannot tell this from a store without changes, so the followers kept reporting that they follow the store, no other
+    // process took over, and a new configuration was unknown to the deployment for 9 s.
     void silenceOfTheStoreIsNoticed()
     {
         Reader reader(m_context, m_options);
         turnAway();
         const Millis silentAt = reader.clock.now();
         runUntil(m_context, [&reader] { return !reader.follower->isCurrent(); });
-        // Leaves a second of the three within which a change has to be in force for others to take over.
+        // Leaves 1 s for other processes to take over, since a change has to be in force within 3 s.
         CPPUNIT_ASSERT(reader.clock.now() - silentAt < 2000);
     }
 
-    // The silence ends, but what was waited for before it never answers.
+    // Guards against a follower that keeps waiting for watches from before an unresponsive phase of the store: the store never
+    // answers them.
     void changeDuringTheSilenceIsTakenAfterIt()
     {
         Reader reader(m_context, m_options);
--- a/tests/trustplatform/testtrustplatform.cpp
+++ b/tests/trustplatform/testtrustplatform.cpp
@@ -151,9 +151,8 @@
         CPPUNIT_ASSERT(store.errorOfStatus(409) == PlatformError::Conflict && store.errorOfStatus(410) == PlatformError::Gone);
     }
 
-    // Another writer leaves an object of a kind of ours in the store: without a spec, without a name, or no object at all.
-    // Read as part of a listing it made the whole listing unreadable, so that a process which no peer had told anything
-    // never learnt of any agent, and refused every caller.
+    // Guards against a malformed object of another writer (without a spec, without a name, or no object at all) that makes the
+    // whole listing unreadable: a process that got no gossip then never learnt of any agent and refused every caller.
     void oneForeignObjectLeavesTheOthers()
     {
         const StoreDialect& store = *m_adapter.store;
@@ -168,8 +167,9 @@
         CPPUNIT_ASSERT(changes && changes->objects.size() == 2 && changes->objects[1].name == "b");
     }
 
-    // A report says that its upstream stays cold for longer than any number of milliseconds holds. Converted unchecked, the
-    // time is undefined: the upstream was taken for cold for ever, or for never. One that has passed is no time at all.
+    // Guards against a report whose remaining warm-up time does not fit into an integer of milliseconds. Converting it
+    // without a check is undefined behaviour: the upstream counted as cold for ever or not at all. A negative time counts as
+    // zero.
     void timesBeyondAllBoundsAreRefused()
     {
         const auto putCold = [this](const std::string& time) {
