--- a/src/kingcuptraild/packets/flowholders.h
+++ b/src/kingcuptraild/packets/flowholders.h
@@ -33,7 +33,7 @@
     Millis usedAt = 0;
 };
 
-/// An agent that was asked on behalf of all agents of its data centre.
+/// A question to one agent, the delegate, that answers on behalf of all agents of its data centre.
 struct Speaker {
     std::uint32_t address = 0;
     /// The agents that its answer covers. An agent that became known after the question is not among them.
@@ -44,7 +44,7 @@
 struct WaitingSearch {
     HolderSearch search;
     std::vector<PacketBytes> packets;
-    /// Agents asked for their data centre whose answers are still missing.
+    /// Questions to delegates that are still unanswered.
     std::vector<Speaker> speakers;
     /// All agents that were asked, directly or through another agent.
     AgentsByCentre asked;
--- a/src/kingcuptraild/packets/holderfinder.cpp
+++ b/src/kingcuptraild/packets/holderfinder.cpp
@@ -18,7 +18,7 @@
     /// Searches that are started in one tick when the first agents become known, so that a backlog does not delay the packets
     /// of a balancer on a small host.
     constexpr std::size_t searchesBegunInTurn = 16;
-    /// How long an agent that was asked for its data centre may take to answer, in milliseconds: several round trips.
+    /// How long a delegate may take to answer, in milliseconds: several round trips.
     constexpr Millis speakerLimit = 30;
     /// A tick that comes this long after the previous one shows that the process is behind with its work, in milliseconds:
     /// twice the 20 ms between ticks.
@@ -90,8 +90,8 @@
     return agents;
 }
 
-// An agent that is asked for its data centre answers for the agents of all services there, so the list of a data centre that
-// is large enough to be asked through one agent holds all of them.
+// A delegate answers for the agents of all services in its data centre, so the list of a data centre that is large enough
+// for a delegate holds all of its agents.
 AgentsByCentre HolderFinder::holdersToAsk(const std::string* service) const
 {
     AgentsByCentre agents = possibleHolders(service);
@@ -103,7 +103,7 @@
     return agents;
 }
 
-// In a data centre with enough agents one of them is asked and queries the others; in the rest each agent is asked directly.
+// In a data centre with enough agents the delegate is asked; in the others each agent is asked directly.
 void HolderFinder::ask(const FlowKey& flow, WaitingSearch& waiting, const AgentsByCentre& agents)
 {
     for (const auto& [dataCentre, members] : agents) {
@@ -117,7 +117,7 @@
 }
 
 // The agents of a data centre that have not answered for so long that searches no longer wait for them. They are excluded from
-// the question, so that the agent that is asked does not wait for them either.
+// the question, so that the delegate does not wait for them either.
 std::vector<std::uint32_t> HolderFinder::givenUpIn(const std::string& dataCentre) const
 {
     std::vector<std::uint32_t> agents;
@@ -129,7 +129,7 @@
     return agents;
 }
 
-// When `packet` is not empty, the agent that is asked probes its neighbours with it.
+// When `packet` is not empty, the delegate probes its neighbours with it.
 void HolderFinder::askSpeaker(const FlowKey& flow, WaitingSearch& waiting, const std::string& dataCentre, std::span<const std::uint32_t> members, std::span<const std::uint8_t> packet)
 {
     const std::uint32_t speaker = nextSpeaker(members);
@@ -139,7 +139,7 @@
     waiting.speakers.push_back({ .address = speaker, .members = { members.begin(), members.end() } });
 }
 
-// Chooses the agents round-robin, so that the next attempt of a search that was left unanswered goes to another agent. Agents
+// Chooses delegates round-robin, so that the next attempt of a search that was left unanswered goes to another agent. Agents
 // with unanswered messages are skipped while there are others.
 std::uint32_t HolderFinder::nextSpeaker(std::span<const std::uint32_t> members)
 {
@@ -181,8 +181,8 @@
     settleSearch(message.flow, state);
 }
 
-// Agents that the answering agent did not report on are asked directly. Agents that only the answering agent knows are added
-// to the search, so that they have to deny the flow as well.
+// Agents that the delegate did not report on are asked directly. Agents that only the delegate knows are added to the search,
+// so that they have to deny the flow as well.
 void HolderFinder::takeNearUnsure(const PeerMessage& message, WaitingSearch& waiting, std::span<const std::uint32_t> members)
 {
     const NearAnswer answer = sortNearAnswer(waiting.search, members, message.denied, message.excluded);
@@ -235,9 +235,9 @@
     m_state.network.sendToAll(agents, { .kind = wire::PeerKind::Find, .flow = flow, .configVersion = m_state.network.routes().version, .acknowledged = waiting.acknowledged });
 }
 
-// When the agent that was asked for its data centre does not answer, or one of its neighbours does not, another agent there
-// gets the packet, so that one unresponsive agent cannot hide the holder of a flow. Asking every agent directly instead
-// would take 40 messages a search, on balancers with small hosts that are already behind.
+// When a delegate or one of its neighbours does not answer, another agent there gets the packet, so that one unresponsive
+// agent cannot hide the holder of a flow. Asking every agent directly instead would take 40 messages a search, on balancers
+// with small hosts that are already behind.
 void HolderFinder::probeOverdue(Millis now)
 {
     // When this process itself is late, the answers may be waiting in its socket.
--- a/src/kingcuptraild/packets/holderfinder.h
+++ b/src/kingcuptraild/packets/holderfinder.h
@@ -5,13 +5,14 @@
 namespace kingcuptrail {
 
 /// Finds the agent that holds a flow which is not in the balancer's cache. Packets of the flow wait until it is found.
+/// In a data centre with many agents only one of them is asked: the delegate, which queries the others.
 class HolderFinder {
 public:
     explicit HolderFinder(BalancerState& state);
 
     /// Starts a search for the holder of a packet's flow, or adds the packet to the search that is already running.
     void search(const FlowKey& flow, const PacketHead& head, std::span<const std::uint8_t> packet);
-    /// Handle an agent's answer for itself, and its answer for all agents of its data centre.
+    /// Handle an agent's answer for itself, and a delegate's answer for all agents of its data centre.
     void handleHolderAnswer(const PeerMessage& message, std::uint32_t sender);
     void handleNearAnswer(const PeerMessage& message, std::uint32_t sender);
     /// Probes agents whose answers are late and ends searches that took too long; to be called several times a second.
--- a/src/kingcuptraild/packets/neighboursearches.cpp
+++ b/src/kingcuptraild/packets/neighboursearches.cpp
@@ -20,12 +20,13 @@
 }
 
 // A balancer that does not know a flow's holder asks one agent in each data centre instead of all agents, so that the number
-// of its messages does not grow with the number of agents. That agent queries its neighbours. It may answer NotHeldNear for
-// all of them only when the balancer knows the same agents there; otherwise it lists the agents that denied the flow, so that
-// a directory difference about one agent leaves only that agent open.
-// When all agents were restarted beside running upstreams, no agent knows its flows, and only delivering a packet of the flow
-// shows whether an upstream holds it. If the balancer sent the packet to every agent itself, its links, the narrowest of the
-// deployment, would carry 60 times the caller's bytes. The balancer therefore sends the packet once, and this agent copies it.
+// of its messages does not grow with the number of agents. That agent, the delegate, queries its neighbours. It may answer
+// NotHeldNear for all of them only when the balancer knows the same agents there; otherwise it lists the agents that denied
+// the flow, so that a directory difference about one agent leaves only that agent open.
+// When all agents were restarted beside running upstreams, no agent knows its flows, and only delivering a packet of the
+// flow shows whether an upstream holds it. If the balancer sent the packet to every agent itself, its links, the narrowest
+// of the deployment, would carry 60 times the caller's bytes. The balancer therefore sends the packet once, and this agent
+// copies it.
 void NeighbourSearches::begin(const PeerMessage& message, std::uint32_t sender)
 {
     const Millis now = m_state.role.clock.now();
--- a/src/kingcuptraild/packets/neighboursearches.h
+++ b/src/kingcuptraild/packets/neighboursearches.h
@@ -5,7 +5,7 @@
 
 namespace kingcuptrail {
 
-/// Searches that an agent makes on behalf of balancers for the holders of flows among the agents of its data centre.
+/// Searches for the holder of a flow that an agent makes for a balancer among the agents of its data centre, as delegate.
 class NeighbourSearches {
 public:
     explicit NeighbourSearches(AgentState& state);
