--- a/src/kingcuptraild/packets/holderfinder.cpp
+++ b/src/kingcuptraild/packets/holderfinder.cpp
@@ -25,8 +25,8 @@
     constexpr Millis lateTurn = 40;
     /// Packets of one flow that may wait for a search: the number that a caller has in flight.
     constexpr std::size_t waitingPackets = 16;
-    /// Concurrent searches. Packets of further flows are dropped. With 1,200 bytes a packet and a few packets a flow, this
-    /// bounds the memory at about 10 MB.
+    /// Concurrent searches. While there are so many, further packets are dropped. With 1,200 bytes a packet and a few
+    /// packets a flow, this bounds the memory at about 10 MB.
     constexpr std::size_t maxSearches = 4096;
 
 }
