--- a/src/libprotocol/flowendpoint.cpp
+++ b/src/libprotocol/flowendpoint.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-    /// Weights of a new round-trip sample and the factor on the deviation, as TCP uses them (RFC 6298).
+    /// Weights of a new sample in the smoothed round-trip time and its deviation, and the deviation's factor in the
+    /// retransmission timeout, as in TCP (RFC 6298).
     constexpr float roundTripGain = 0.125F;
     constexpr float deviationGain = 0.25F;
     constexpr float deviationFactor = 4;
@@ -63,7 +64,7 @@
 
 void FlowEndpoint::receive(std::uint32_t sequence, Bytes payload)
 {
-    // A sequence outside the window is a duplicate or a hostile guess; either way it must not take memory.
+    // A sequence number outside the window is a duplicate or forged; either way it must not use memory.
     if (sequence <= m_receivedUpTo || sequence > m_deliveredUpTo + m_options.receiveSegments)
         return;
     m_received.emplace(sequence, std::move(payload));
@@ -75,10 +76,10 @@
 {
     while (!m_outgoing.empty() && m_outgoing.begin()->first <= upTo) {
         const Outgoing& outgoing = m_outgoing.begin()->second;
-        // An acknowledgement beyond what was sent is no acknowledgement of ours.
+        // An acknowledgement of segments that were never sent is invalid.
         if (outgoing.sentAt < 0)
             return;
-        // Only a segment sent once tells the round trip: after a resend nobody knows which copy was acknowledged.
+        // A retransmitted segment gives no round-trip sample, since it is unknown which copy was acknowledged.
         if (outgoing.sends == 1)
             measure(now - outgoing.sentAt);
         m_outgoing.erase(m_outgoing.begin());
--- a/src/libprotocol/flowendpoint.h
+++ b/src/libprotocol/flowendpoint.h
@@ -11,20 +11,23 @@
 namespace kingcuptrail {
 
 struct FlowEndpointOptions {
-    /// Segments in flight at most. 64 segments of 16 KiB fill a path of a few milliseconds at 100 MB/s.
+    /// Maximum number of segments in flight. 64 segments of 16 KiB fill a path with a round trip of a few milliseconds at
+    /// 100 MB/s.
     std::size_t windowSegments = 64;
-    /// Segments held out of order at most; twice the peer's window, so that nothing within it is thrown away.
+    /// Maximum number of segments buffered on receipt. Twice the peer's window, so that no segment within the window is
+    /// discarded.
     std::size_t receiveSegments = 128;
-    /// Segments waiting to be sent at most, in flight included.
+    /// Maximum number of queued segments, including those in flight.
     std::size_t queueSegments = 1024;
-    /// Shortest and longest wait before a segment is sent again, in milliseconds.
+    /// Bounds of the retransmission timeout, in milliseconds.
     Millis minResendAfter = 40;
     Millis maxResendAfter = 1000;
 };
 
-/// One end of a flow: numbers what is sent, sends it again until acknowledged, and delivers what arrives once and in
-/// order. The flow's packets take different balancers, which reorder, duplicate and (when one dies) lose them; the two
-/// endpoints are the only place that can tell and mend it. Does no I/O and reads no clock.
+/// One end of a reliable flow: numbers the segments that it sends, retransmits them until they are acknowledged, and
+/// delivers received segments exactly once and in order. The packets of a flow may pass through different balancers and
+/// so be reordered, duplicated or, when a balancer fails, lost; only the two endpoints can detect and correct this. Does no
+/// I/O and reads no clock.
 class FlowEndpoint {
 public:
     using Payload = std::shared_ptr<const Bytes>;
@@ -36,25 +39,26 @@
 
     explicit FlowEndpoint(const FlowEndpointOptions& options = {});
 
-    /// Queues a payload; false when the queue is full, and nothing is taken then.
+    /// Queues a payload. Returns false and queues nothing when the queue is full.
     bool send(Bytes payload);
 
-    /// The segments to put on the wire now: new ones within the window and those whose wait has passed.
+    /// Returns the segments to send now and marks them as sent: new ones within the window and those whose retransmission
+    /// timeout has passed.
     std::vector<Segment> takeDue(Millis now);
 
-    /// When takeDue() next has something to send again; nothing while all is acknowledged.
+    /// When takeDue() next has a segment to send; empty when everything is acknowledged.
     std::optional<Millis> nextDue() const;
 
-    /// Takes a segment that arrived. Every one, also a duplicate, is owed an acknowledgement.
+    /// Handles a received segment. The caller must acknowledge every segment, duplicates included.
     void receive(std::uint32_t sequence, Bytes payload);
 
-    /// Takes the peer's cumulative acknowledgement.
+    /// Handles the peer's cumulative acknowledgement.
     void acknowledge(std::uint32_t upTo, Millis now);
 
-    /// The next payload in order, or nothing.
+    /// Removes and returns the next payload in order; empty when it has not arrived.
     std::optional<Bytes> takeDelivered();
 
-    /// The highest sequence up to which everything has arrived.
+    /// The highest sequence number up to which every segment has arrived.
     std::uint32_t receivedUpTo() const { return m_receivedUpTo; }
 
     bool hasRoom() const { return m_outgoing.size() < m_options.queueSegments; }
--- a/src/libprotocol/framing.cpp
+++ b/src/libprotocol/framing.cpp
@@ -4,11 +4,12 @@
 
 namespace {
 
-    /// Bounds the verifier's work on a hostile frame; ours nest four deep and have few tables.
+    /// Bound the verifier's work on a malicious frame. Valid frames nest four levels deep and have few tables.
     constexpr flatbuffers::uoffset_t maxTableDepth = 16;
     constexpr flatbuffers::uoffset_t maxTables = 50000;
 
-    /// A reader that has nothing left gives back a larger buffer; one burst would otherwise cost its link memory for ever.
+    /// An empty buffer with more capacity than this is released, since otherwise the memory used by one burst would stay
+    /// allocated for as long as the link exists.
     constexpr std::size_t idleCapacity = 4096;
 
 }
--- a/src/libprotocol/framing.h
+++ b/src/libprotocol/framing.h
@@ -13,19 +13,20 @@
 
 using Bytes = std::vector<std::uint8_t>;
 
-/// No frame may be longer, so that a peer cannot make a process hold more than this for one unfinished frame.
+/// Maximum length of a frame, without its prefix. Bounds the memory that a peer can occupy with one incomplete frame.
 constexpr std::size_t maxFrameBytes = std::size_t { 256 } * 1024;
 
-/// Body bytes carried by one segment: large enough to amortise its packet, small enough that a lost one is cheap.
+/// Maximum number of body bytes in one segment: large enough to amortise the packet's overhead, small enough that
+/// retransmitting a lost segment is cheap.
 constexpr std::size_t maxChunkBytes = std::size_t { 16 } * 1024;
 
 /// Length of the prefix that holds a frame's size, in bytes.
 constexpr std::size_t framePrefixBytes = 4;
 
-/// The version of the frames' meaning; peers that differ part with a goodbye.
+/// Version of the protocol. A process answers a peer of another version with a goodbye and closes the link.
 constexpr std::uint32_t protocolVersion = 1;
 
-/// Why bytes could not be taken as a frame or message.
+/// Why bytes could not be decoded as a frame or message.
 enum class FrameError : std::uint8_t {
     None,
     TooLarge,
@@ -38,7 +39,7 @@
     static constexpr std::array<std::string_view, 4> names { "none", "tooLarge", "malformed", "noBody" };
 };
 
-/// Encodes a frame with its length in front, ready to be written to a link.
+/// Encodes a frame with its length prefix, ready to be written to a link.
 Bytes encodeFrame(const wire::FrameT& frame);
 
 /// Encodes one body as a frame.
@@ -61,13 +62,15 @@
     return Bytes(builder.GetBufferPointer(), builder.GetBufferPointer() + builder.GetSize());
 }
 
-/// The message in a segment's payload, valid while `payload` is; nothing when the bytes are not a whole message.
+/// Decodes the message in a segment's payload. The result points into `payload`; it is null when the bytes are not a
+/// complete, valid message.
 const wire::Message* readMessage(std::span<const std::uint8_t> payload);
 
-/// Cuts a stream of bytes into frames. After an error it yields nothing more: the stream cannot be trusted any longer.
+/// Splits a byte stream into frames. After an error it returns no more frames, since frame boundaries are lost.
 class FrameReader {
 public:
-    /// One frame: `raw` includes the prefix, so that it can be forwarded unchanged. Both are valid until the next call.
+    /// One frame. `raw` includes the prefix, so that it can be forwarded unchanged. Both members are valid until the next
+    /// call of append().
     struct View {
         const wire::Frame* frame = nullptr;
         std::span<const std::uint8_t> raw;
@@ -75,10 +78,10 @@
 
     void append(std::span<const std::uint8_t> bytes);
 
-    /// The next whole frame, or nothing when more bytes are needed or lastReason() is set.
+    /// Returns the next complete frame; empty when more bytes are needed or lastReason() is set.
     std::optional<View> next();
 
-    /// Whether part of a frame has arrived.
+    /// Whether unread bytes are buffered, such as part of a frame.
     bool hasPartial() const { return m_begin < m_buffer.size(); }
 
     FrameError lastReason() const { return m_lastReason; }
--- a/src/libprotocol/link.cpp
+++ b/src/libprotocol/link.cpp
@@ -9,15 +9,15 @@
 
 namespace {
 
-    /// Bytes read from a socket at once.
+    /// Maximum number of bytes read from a socket at once.
     constexpr std::size_t readBufferBytes = std::size_t { 64 } * 1024;
 
-    /// Between looks at whether something is overdue: a part of the limit that is nearest, within these bounds.
+    /// The timeouts are checked at an interval that is a fraction of the shortest applicable timeout, within these bounds.
     constexpr Millis shortestWatch = 100;
     constexpr Millis longestWatch = 5000;
     constexpr Millis watchesPerLimit = 8;
 
-    /// A look that comes later than it was due by this much shows that the process stood still.
+    /// A check that runs later than scheduled by more than this indicates that the process was paused.
     constexpr Millis longestWatchDelay = 1000;
 
     LinkError connectReason(const asio::error_code& error)
@@ -94,8 +94,8 @@
     shut();
 }
 
-// A balancer may have thousands of links, most of them idle. A read buffer in each would be most of its memory, so a
-// link waits until there is something to read and then reads into a buffer that all links of the thread share.
+// A balancer may have thousands of links, most of them idle, and a read buffer for each would dominate its memory use.
+// Therefore a link waits until the socket is readable and then reads into a buffer shared by all links of the thread.
 void Link::read()
 {
     auto self = shared_from_this();
@@ -122,7 +122,7 @@
     if (!m_reader.hasPartial())
         m_partialSince = m_heardAt;
     m_reader.append(bytes);
-    // A handler that closes the link drops m_handlers; the copy keeps what is running alive.
+    // A handler that closes the link clears m_handlers; the copy keeps the running function object alive.
     const auto onFrame = m_handlers.onFrame;
     while (const auto view = m_reader.next()) {
         m_heardFrame = true;
@@ -181,9 +181,9 @@
     });
 }
 
-// Load: a process with thousands of links, nearly all of them idle.
-// Harm: a look at each of them ten times a second costs more processor time than their heartbeats.
-// Limit: an eighth of the limit in question, so that what is overdue is seen at most that much late.
+// With thousands of mostly idle links, checking each of them ten times a second would cost more processor time than their
+// heartbeats. The interval is an eighth of the shortest applicable timeout, so that a timeout is detected at most that
+// much late.
 Millis Link::watchPause() const
 {
     const bool isHandshake = !m_heardFrame;
@@ -196,9 +196,9 @@
     return std::clamp(limit / watchesPerLimit, shortestWatch, longestWatch);
 }
 
-// Failure: this process stood still, and its timers fire before it has read what waits on its sockets. Every peer would
-// look silent, and every link would be made anew with its news unread. The silence was this process's own, so it is not
-// counted against the peers.
+// After a pause of this process, timers fire before the data waiting on the sockets is read. Every peer would appear
+// silent, and every link would be closed with its received frames unread. Since the delay was on this side, the timeouts
+// start again.
 void Link::forgiveOwnPause()
 {
     const auto now = steady_clock::now();
--- a/src/libprotocol/link.h
+++ b/src/libprotocol/link.h
@@ -52,44 +52,44 @@
 };
 
 struct LinkOptions {
-    /// How long the peer may take to send its first frame, in milliseconds.
+    /// Time within which the peer must send its first frame, in milliseconds.
     Millis handshakeTimeout = 2000;
-    /// How long a peer may say nothing before the link is given up, in milliseconds; 0 means for ever. A link whose
-    /// path has lost track of it swallows bytes without an error: only missing heartbeats show it.
+    /// Time without any received byte after which the link is closed, in milliseconds; 0 means no limit. When a device on
+    /// the path has dropped its connection state, bytes are lost without an error, and only missing heartbeats reveal it.
     Millis silenceLimit = 3000;
-    /// How long one frame may take to arrive, and one write to finish, in milliseconds.
+    /// Time within which one frame must arrive completely and one write must finish, in milliseconds.
     Millis frameTimeout = 4000;
-    /// Bytes that may wait to be written. Packets beyond it are dropped, as a full network queue drops them.
+    /// Maximum number of bytes queued for writing. Packets beyond it are dropped, as by a full network queue.
     std::size_t sendLimitBytes = std::size_t { 8 } * 1024 * 1024;
 };
 
-/// A TCP connection that carries frames. Lives in one io_context's thread.
+/// A TCP connection that carries frames. Must be used from the thread that runs its io_context.
 class Link : public std::enable_shared_from_this<Link> {
 public:
     struct Handlers {
-        /// Called for each whole frame; `raw` is the frame with its prefix.
+        /// Called for each complete frame; `raw` is the frame with its prefix.
         std::function<void(Link&, const wire::Frame& frame, std::span<const std::uint8_t> raw)> onFrame;
-        /// Called once, when the link has ended for any reason but a local close().
+        /// Called once when the link ends for any reason except a local close().
         std::function<void(Link&, LinkError)> onClosed;
     };
 
-    /// Takes over a connected socket. Nothing happens before start().
+    /// Takes ownership of a connected socket. Reading begins with start().
     Link(asio::ip::tcp::socket socket, const LinkOptions& options);
 
     void start(Handlers handlers);
 
-    /// Queues a frame that must not be lost while the link lives, such as a goodbye.
+    /// Queues a frame regardless of the send limit, for frames that must not be dropped, such as a goodbye.
     void send(Bytes frame);
 
-    /// Queues a packet; drops and counts it when too much is waiting already.
+    /// Queues a packet. When the send limit would be exceeded, the packet is dropped and counted, and false is returned.
     bool sendDroppable(Bytes frame);
 
-    /// Ends the link without telling the handlers. What is queued is still written when `flush` is set.
+    /// Closes the link without calling the handlers. With `flush`, queued frames are written first.
     void close(bool flush = false);
 
     Millis silenceLimit() const { return m_options.silenceLimit; }
 
-    /// Adapts the limit to a peer that announced slower heartbeats; 0 means no limit.
+    /// Sets the silence limit, for a peer that announced a longer heartbeat interval; 0 means no limit.
     void setSilenceLimit(Millis limit) { m_options.silenceLimit = limit; }
 
     bool isOpen() const { return !m_closed; }
@@ -132,8 +132,8 @@
     LinkError m_lastReason = LinkError::None;
 };
 
-/// Connects to an endpoint given by IP number and port. The handler gets a link that is not started, or the reason.
-/// Destroying the dialer gives the attempt up.
+/// Connects to an endpoint given by IP address and port. The handler receives a link that is not started yet, or the reason
+/// of the failure. Destroying the dialer cancels the attempt.
 class LinkDialer {
 public:
     using Handler = std::function<void(std::shared_ptr<Link>, LinkError)>;
--- a/src/libprotocol/peermessage.cpp
+++ b/src/libprotocol/peermessage.cpp
@@ -178,7 +178,7 @@
     for (const wire::PeerEntry* entry : packed) {
         const auto role = fromNumber<PeerRole>(entry->role());
         const auto state = fromNumber<PeerState>(entry->state());
-        // An entry of a later release's kind names nobody that this one could use.
+        // A later release may use roles and states that this one does not know; such entries are skipped.
         if (!role || !state || !entry->name())
             continue;
         entries.push_back({
--- a/src/libprotocol/peermessage.h
+++ b/src/libprotocol/peermessage.h
@@ -9,35 +9,36 @@
 
 namespace kingcuptrail {
 
-/// A message between processes, as it is read: views into the datagram that it came in.
+/// A decoded message between processes. `packet` and `table` point into the datagram.
 struct PeerMessage {
     wire::PeerKind kind = wire::PeerKind::News;
     FlowKey flow;
     AgentLoad load;
     OpenRefusal refusal = OpenRefusal::None;
     ConfigVersion configVersion = 0;
-    /// Of Find: what the caller's packet acknowledges.
+    /// Of Find and FindNear: the acknowledgement number of the caller's packet.
     std::uint32_t acknowledged = 0;
-    /// Of FindNear: the digest of the agents that the sender knows in the receiver's data centre.
+    /// Of FindNear: digest of the agents that the sender knows in the receiver's data centre. Of News: digest of the
+    /// sender's directory.
     std::uint64_t digest = 0;
-    /// Of Open: the opening is to be refused rather than to wait, since other agents may have a free slot.
+    /// Of Open: the agent must refuse the opening instead of queueing it, since other agents may have a free slot.
     bool needsFreeSlot = false;
     /// Of HeldNear: the address of the agent that holds the flow.
     std::uint32_t holder = 0;
-    /// Of FindNear: agents that are not to be asked. Of UnsureNear: agents that were asked and could not say.
+    /// Of FindNear: agents that must not be queried. Of UnsureNear: agents that were queried and gave no definite answer.
     std::vector<std::uint32_t> excluded;
     /// Of UnsureNear: agents that certainly do not hold the flow.
     std::vector<std::uint32_t> denied;
     std::span<const std::uint8_t> packet;
-    /// The rest, for the rare kinds.
+    /// Access to the fields of the less frequent kinds, which are not decoded in advance.
     const wire::PeerMessage* table = nullptr;
 };
 
-/// Reads a datagram; nothing when it is no message. The bytes are checked before any field is used, since they may come
-/// from anybody.
+/// Decodes a datagram; empty, with the reason in `error`, when it is not a message. The bytes are verified before any field
+/// is read, since any host may have sent them.
 std::optional<PeerMessage> decodePeerMessage(std::span<const std::uint8_t> datagram, FrameError& error);
 
-/// What a message about one flow says.
+/// The content of a message about one flow, to be encoded.
 struct FlowMessage {
     wire::PeerKind kind = wire::PeerKind::Open;
     FlowKey flow;
@@ -53,7 +54,7 @@
     std::span<const std::uint8_t> packet;
 };
 
-/// What a process tells of what it knows.
+/// The content of a gossip message: the sender's versions and digests, and the parts of its state that it shares.
 struct NewsMessage {
     ConfigVersion configVersion = 0;
     std::uint64_t digest = 0;
@@ -64,18 +65,18 @@
     bool wantsAnswer = false;
 };
 
-/// A process's directory by the digests of its parts.
+/// A process's directory as one digest for each bucket.
 struct DigestsMessage {
     ConfigVersion configVersion = 0;
     std::vector<std::uint32_t> digests;
-    /// The receiver is to send its own digests too, so that both learn what they lack.
+    /// The receiver should send its own digests too, so that both sides can send the other's missing entries.
     bool wantsAnswer = false;
-    /// The receiver lacks so much that it has to fetch the whole directory.
+    /// The receiver lacks so many entries that it must fetch the whole directory.
     bool differsMuch = false;
 };
 
-/// Encodes messages into a buffer that is used again and again, so that a packet costs no allocation. The bytes are valid
-/// until the next call.
+/// Encodes messages into a reused buffer, so that encoding a packet needs no allocation. The returned bytes are valid until
+/// the next call.
 class PeerMessageEncoder {
 public:
     std::span<const std::uint8_t> encode(const FlowMessage&);
@@ -86,18 +87,18 @@
     flatbuffers::FlatBufferBuilder m_builder { 2048 };
 };
 
-/// What Held, NotHeld and Unsure say, and the message that says it.
+/// Convert between the kinds Held, NotHeld and Unsure and the answer that they carry.
 HolderAnswer holderAnswerOf(wire::PeerKind kind);
 wire::PeerKind peerKindOf(HolderAnswer answer);
 
-/// The announcements that a News message carries.
+/// The directory entries in a News message.
 std::vector<PeerEntry> entriesOf(const PeerMessage&);
 std::vector<PeerEntry> entriesOf(const flatbuffers::Vector<flatbuffers::Offset<wire::PeerEntry>>& packed);
-/// The digests that a DirectoryDigests message carries.
+/// The digests in a DirectoryDigests message.
 std::vector<std::uint32_t> digestsOf(const PeerMessage&);
-/// The heartbeats of the store's readers that a News message carries.
+/// The heartbeats of the store's readers in a News message.
 std::vector<ReaderBeat> readersOf(const PeerMessage&);
-/// The outages that a News message carries; nothing when it has none.
+/// The outages in a News message; empty when it has none.
 std::optional<OutageView> outagesOf(const PeerMessage&);
 
 }
--- a/src/libprotocol/viewcodec.cpp
+++ b/src/libprotocol/viewcodec.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    /// The names of all services that routes go to, each once.
+    /// The sorted, unique names of all services that the routes refer to.
     std::vector<std::string> serviceNamesOf(const RouteTable& table)
     {
         std::vector<std::string> names;
--- a/src/libprotocol/viewcodec.h
+++ b/src/libprotocol/viewcodec.h
@@ -7,7 +7,7 @@
 
 namespace kingcuptrail {
 
-/// All that a process believes of the deployment, as one process hands it to another.
+/// A process's view of the deployment, as sent to another process.
 struct DeploymentView {
     RouteTable routes;
     OutageView outages;
@@ -16,16 +16,17 @@
     bool operator==(const DeploymentView&) const = default;
 };
 
-/// Which parts of a view are wanted; whoever asks leaves out what it has.
+/// Which parts of a view to send. The requesting process leaves out the parts that it already has.
 struct ViewParts {
     bool routes = true;
     bool entries = true;
 };
 
-/// The view as bytes; by estimate some 40 a route and 100 an entry.
+/// Encodes a view. Estimated size: 40 bytes for each route and 100 for each entry.
 std::string encodeView(const DeploymentView&, const ViewParts& parts = {});
 
-/// Reads a view; nothing when the bytes are not one. A part that was left out is as in a new view.
+/// Decodes a view; empty, with the reason in `error`, when the bytes are not a valid view. A part that was left out is
+/// default-constructed.
 std::optional<DeploymentView> decodeView(std::string_view bytes, FrameError& error);
 
 }
--- a/tests/fuzz/fuzzpacket.cpp
+++ b/tests/fuzz/fuzzpacket.cpp
@@ -7,7 +7,7 @@
 
 using namespace kingcuptrail;
 
-/// Datagrams of callers and upstreams. A packet that was read and marked comes out as it was when the mark is taken off.
+/// Datagrams of callers and upstreams. Setting a mark on a decoded packet and clearing it must restore the packet's bytes.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size)
 {
     std::vector<std::uint8_t> packet(data, data + size);
--- a/tests/fuzz/fuzzpeer.cpp
+++ b/tests/fuzz/fuzzpeer.cpp
@@ -5,7 +5,7 @@
 
 using namespace kingcuptrail;
 
-/// Datagrams and views of other processes: every field of what was read can be used.
+/// Datagrams and views of other processes. Every field of a decoded message must be readable.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size)
 {
     FrameError error = FrameError::None;
--- a/tests/fuzz/fuzzreport.cpp
+++ b/tests/fuzz/fuzzreport.cpp
@@ -7,7 +7,7 @@
 
 using namespace kingcuptrail;
 
-/// Bodies of upstream reports. One that was not taken has a reason.
+/// Bodies of upstream reports. Decoding must return either a report or an error.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size)
 {
     const HttpRequest request { .method = "PUT", .target = "/targets/i-1", .body = std::string(data, data + size) };
--- a/tests/fuzz/fuzzroutes.cpp
+++ b/tests/fuzz/fuzzroutes.cpp
@@ -8,7 +8,7 @@
 
 using namespace kingcuptrail;
 
-/// Configurations as operators keep them in the store. One that was read reaches a peer unchanged.
+/// Configurations in the store's format. A decoded configuration must survive encoding and decoding as a view unchanged.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size)
 {
     DecodeError error = DecodeError::None;
--- a/tests/fuzz/fuzzstore.cpp
+++ b/tests/fuzz/fuzzstore.cpp
@@ -8,7 +8,8 @@
 
 using namespace kingcuptrail;
 
-/// Answers of the store, and the announcements in them. An announcement that was read is written as one that reads the same.
+/// Answers of the store and the announcements in them. Writing a parsed announcement and parsing it again must give the same
+/// announcement.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size)
 {
     const std::string body(data, data + size);
--- a/tests/protocol/testflowendpoint.cpp
+++ b/tests/protocol/testflowendpoint.cpp
@@ -17,9 +17,9 @@
         return { static_cast<std::uint8_t>(number), static_cast<std::uint8_t>(number >> 8) };
     }
 
-    // A caller's upload loses, repeats and reorders packets, as when one of three balancers dies in the middle.
-    // Every third segment is dropped, some are delivered twice and the rest in a shuffled order. All must arrive
-    // once and in order, since a hole or a repeat would corrupt the drawing.
+    // When one of three balancers fails during an upload, packets of the flow are lost, duplicated and reordered. The test
+    // drops every third segment, delivers some twice and shuffles the rest. Each payload must be delivered exactly once and
+    // in order; otherwise the uploaded data is corrupted.
     void lossyPathDeliversAllOnceInOrder()
     {
         std::mt19937 random(7);
