--- a/src/libhttp/http.h
+++ b/src/libhttp/http.h
@@ -9,7 +9,7 @@
 
 namespace kingcuptrail {
 
-/// Why an HTTP exchange did not end with a whole response.
+/// Why an HTTP exchange did not end with a complete response.
 enum class HttpError : std::uint8_t {
     None,
     ConnectFailed,
@@ -56,18 +56,18 @@
     std::string body;
 };
 
-/// The value of a header, by its name without regard to case; empty when there is none.
+/// The value of a header, by case-insensitive name; empty when there is none.
 std::string_view headerValue(const std::vector<HttpHeader>& headers, std::string_view name);
 
 bool isSameHeaderName(std::string_view first, std::string_view second);
 
-/// The path of a target, without its query.
+/// The path of a request target, without its query.
 std::string_view pathOf(std::string_view target);
 
-/// The value of a query parameter of a target, percent-decoded; empty when there is none.
+/// The percent-decoded value of a query parameter in a request target; empty when there is none.
 std::string queryValue(std::string_view target, std::string_view name);
 
-/// Percent-encoding of one path segment or query value (RFC 3986); a malformed escape is left as it stands.
+/// Percent-encoding of one path segment or query value (RFC 3986). Decoding leaves malformed escapes unchanged.
 std::string percentEncode(std::string_view text);
 std::string percentDecode(std::string_view text);
 
--- a/src/libhttp/httpclient.cpp
+++ b/src/libhttp/httpclient.cpp
@@ -23,8 +23,8 @@
         });
     }
 
-    // Failure: text from an end user with a line break in it would end the header early, and the rest would reach the
-    // server as a request of its own. The guard refuses any control character before a connection is made.
+    // Prevents request splitting: a line break in text from an end user would end the header early, and the server would
+    // read the rest as a separate request. Any control character is rejected before a connection is made.
     bool isSafeRequest(const HttpRequest& request)
     {
         if (request.method.empty() || request.target.empty() || !isSafeText(request.method, false) || !isSafeText(request.target, false))
@@ -35,7 +35,8 @@
         });
     }
 
-    /// Headers that frame the message; what the caller gave is replaced by what is true of this connection.
+    /// Headers that frame the message. Values given by the user are dropped; the client sets the values that apply to its
+    /// connection.
     bool isFramingHeader(std::string_view name)
     {
         constexpr std::array<std::string_view, 4> framing { "Content-Length", "Transfer-Encoding", "Connection", "Expect" };
@@ -56,8 +57,8 @@
         return head + "Connection: close\r\n\r\n";
     }
 
-    /// The call holds itself alive through the operations it has under way. Every completion first asks m_ended, so
-    /// that nothing reaches the handlers after the end.
+    /// The pending asynchronous operations keep the call alive. Each completion checks m_ended first, so that no handler is
+    /// called after the end.
     class Call final : public HttpCall, public std::enable_shared_from_this<Call> {
     public:
         Call(asio::io_context& context, const HttpCallOptions& options, Handlers handlers)
@@ -91,7 +92,7 @@
 
         asio::ip::tcp::socket m_socket;
         asio::steady_timer m_deadline;
-        /// Limits the connecting first, later the silences between bytes.
+        /// Limits first the time to connect, later the time between receptions.
         asio::steady_timer m_patience;
         HttpCallOptions m_options;
         Handlers m_handlers;
@@ -167,8 +168,8 @@
         read();
     }
 
-    // Keep-alive probes go unanswered when something between the two hosts has lost track of the connection; nothing else
-    // shows it while an answer is only waited for. The second option bounds how long bytes may stay unacknowledged.
+    // When a device between the two hosts has dropped its connection state, only unanswered keep-alive probes reveal it
+    // while the client waits for an answer. TCP_USER_TIMEOUT limits how long sent bytes may stay unacknowledged.
     void Call::watchPath()
     {
         constexpr int probes = 2;
@@ -188,8 +189,8 @@
     {
         auto self = shared_from_this();
         const std::array<asio::const_buffer, 2> buffers { asio::buffer(m_head), asio::buffer(m_body) };
-        // An error is left to the reading side: a server that refuses a long body early closes while this still
-        // writes, and its answer waits in the socket.
+        // Write errors are ignored, and the read reports the outcome: a server that refuses a long body early closes the
+        // connection during the write, and its answer is waiting in the socket.
         asio::async_write(m_socket, buffers, [self](asio::error_code, std::size_t) {
             self->m_head = {};
             self->m_body = {};
@@ -228,8 +229,8 @@
             succeed();
     }
 
-    // Failure: something on the path loses track of the connection and swallows every byte, so that neither side sees
-    // an error. It shows as silence alone; the timer turns silence into an end.
+    // When a device on the path drops its connection state, bytes are lost without an error on either side. The timer ends
+    // the call when nothing has been received for too long.
     void Call::watchSilence()
     {
         if (m_options.silenceLimit <= 0 || m_ended)
@@ -284,7 +285,8 @@
         m_deadline.cancel(ignored);
         m_patience.cancel(ignored);
         m_socket.close(ignored);
-        // The handlers may be running right now and may hold this call; they are let go once the stack is unwound.
+        // The handlers may be running and may hold a reference to this call, so they are released after the stack has
+        // unwound.
         asio::post(m_socket.get_executor(), [self = shared_from_this()] { self->m_handlers = {}; });
     }
 
--- a/src/libhttp/httpclient.h
+++ b/src/libhttp/httpclient.h
@@ -12,36 +12,38 @@
 namespace kingcuptrail {
 
 struct HttpCallOptions {
-    /// In milliseconds.
+    /// Limit for establishing the connection, in milliseconds.
     Millis connectTimeout = 1000;
-    /// For the whole exchange, in milliseconds; 0 means no limit.
+    /// Limit for the whole exchange, in milliseconds; 0 means no limit.
     Millis timeout = 10000;
-    /// How long the server may send nothing once it has begun to answer, in milliseconds; 0 means no limit.
+    /// Maximum time between two receptions once the server has begun to answer, in milliseconds; 0 means no limit.
     Millis silenceLimit = 0;
-    /// How long the connection may be without a sign of the other host before it counts as lost, in milliseconds; 0 means
-    /// that only the limits above end it. Finds a path that lost track of a connection while an answer is waited for.
+    /// Time without any TCP acknowledgement from the peer's host after which the connection counts as lost, in milliseconds; 0
+    /// means that only the limits above apply. Detects that a device on the path has dropped its connection state while
+    /// the client waits for an answer.
     Millis pathSilenceLimit = 0;
-    /// Largest body that is collected; one handed over in chunks is not limited, since it takes no memory here.
+    /// Maximum size of a collected body. A body passed on in chunks is not limited, since it is not buffered.
     std::size_t maxBodyBytes = std::size_t { 16 } * 1024 * 1024;
 };
 
 /// How an exchange ended.
 struct HttpOutcome {
     HttpError error = HttpError::None;
-    /// Whether any byte of the request may have reached the server. While it is false, the request did not run.
+    /// Whether any byte of the request may have reached the server. If false, the request certainly did not run.
     bool mayHaveReached = false;
 };
 
-/// One request to one server over a connection of its own. Alive until its handler was called or it is cancelled;
-/// dropping the last reference from outside does not end it.
+/// One request to one server over its own connection. The object keeps itself alive until onDone has been called or
+/// cancel() is called; releasing all outside references does not end the call.
 class HttpCall {
 public:
     struct Handlers {
-        /// Called once. The response is whole (its body empty if onChunk took it), or nothing and the outcome says why.
+        /// Called once, with the complete response (its body is empty if onChunk is set), or without one and with the reason
+        /// in the outcome.
         std::function<void(std::optional<HttpResponse>, const HttpOutcome&)> onDone;
-        /// When set, the body is handed over as it arrives and not collected.
+        /// If set, receives the body as it arrives; the body is then not collected.
         std::function<void(std::string_view chunk)> onChunk;
-        /// When set, called when status and headers are there, before any chunk.
+        /// If set, called with status and headers before any chunk.
         std::function<void(const HttpResponse& head)> onHead;
     };
 
@@ -50,8 +52,8 @@
     /// Closes the connection; onDone is not called.
     virtual void cancel() = 0;
 
-    /// Stops reading from the server until resumed, so that a slow reader's data waits in the server's socket. What
-    /// was read before, one buffer at most, is still handed over.
+    /// Stops reading from the server until resume() is called, so that TCP flow control slows the server down. Data that was
+    /// already read, at most one buffer, is still passed to the handlers.
     virtual void pause() = 0;
     virtual void resume() = 0;
 };
--- a/src/libhttp/httpmessagereader.h
+++ b/src/libhttp/httpmessagereader.h
@@ -7,7 +7,7 @@
 
 namespace kingcuptrail {
 
-/// Parses one HTTP/1.1 message from bytes as they arrive. Never yields a message that is not whole.
+/// Incremental parser for one HTTP/1.1 message. Never reports an incomplete message as complete.
 class HttpMessageReader {
 public:
     enum class Kind : std::uint8_t {
@@ -17,7 +17,7 @@
 
     struct Handlers {
         std::function<void()> onHead;
-        /// When set, the body goes here and is not collected.
+        /// If set, receives the body, which is then not collected.
         std::function<void(std::string_view)> onBody;
     };
 
@@ -27,18 +27,18 @@
 
     void setHandlers(Handlers handlers) { m_handlers = std::move(handlers); }
 
-    /// The response to a HEAD request has no body whatever its headers say.
+    /// For the response to a HEAD request, which has no body regardless of its headers.
     void setExpectsNoBody() { m_expectsNoBody = true; }
 
-    /// Yields HttpError::None while the bytes make sense. A message whose end could only be told by the end of the
-    /// connection is a BadMessage: cut short, it would look whole.
+    /// Parses more bytes. Returns HttpError::None while they are valid. A message whose end is marked only by the end of the
+    /// connection is a BadMessage, since a truncated one could not be distinguished from a complete one.
     HttpError feed(std::string_view bytes);
 
-    /// Stops the feeding under way, for use in a handler.
+    /// Makes the running feed() return; for use in a handler.
     void stop() { m_stopped = true; }
 
     bool isComplete() const { return m_complete; }
-    /// Whether bytes came after the end of the message.
+    /// Whether bytes were fed after the end of the message.
     bool hasLeftover() const { return m_leftover; }
 
     std::string method() const;
--- a/src/libhttp/httpserver.cpp
+++ b/src/libhttp/httpserver.cpp
@@ -13,9 +13,9 @@
 namespace {
 
     constexpr std::size_t readBytes = std::size_t { 16 } * 1024;
-    /// How long a closing connection waits for the client to read the last bytes and close.
+    /// Time for which a closing connection waits for the client to read the last bytes and close.
     constexpr auto lingerTime = std::chrono::milliseconds(1000);
-    /// Wait before accepting again after an error such as no free descriptor, which would repeat at once.
+    /// Delay before accepting again after an error such as a lack of file descriptors, which would recur immediately.
     constexpr auto acceptRetryDelay = std::chrono::milliseconds(50);
 
     constexpr int statusBadRequest = 400;
@@ -24,7 +24,7 @@
 
     class Connection;
 
-    /// What the connections share with their server; outlives it while one of them has an operation under way.
+    /// State shared by the server and its connections. It outlives the server while a connection has a pending operation.
     struct Shared {
         HttpServerOptions options;
         HttpHandler handler;
@@ -48,7 +48,7 @@
         return text.append(chunk).append("\r\n");
     }
 
-    /// One client: reads one request, hands it to the handler, writes the response, closes.
+    /// One client connection: reads one request, passes it to the handler, writes the response and closes.
     class Connection final : public std::enable_shared_from_this<Connection> {
     public:
         Connection(asio::ip::tcp::socket socket, std::shared_ptr<Shared> shared)
@@ -96,7 +96,7 @@
         bool m_closed = false;
     };
 
-    /// Closes the connection when it is dropped unanswered, so that a forgotten request does not hold it for ever.
+    /// Its destructor closes an unanswered connection, so that a request that is never answered does not keep it open.
     class Responder final : public HttpResponder {
     public:
         explicit Responder(std::shared_ptr<Connection> connection)
@@ -130,8 +130,8 @@
         auto self = shared_from_this();
         asio::error_code ignored;
         m_socket.set_option(asio::ip::tcp::no_delay(true), ignored);
-        // Failure: a client that sends a byte now and then would hold its place among the connections for ever. The
-        // limit is on the whole request, so that trickling does not extend it.
+        // A client that sends single bytes slowly would otherwise occupy one of the limited connections indefinitely. The
+        // timeout covers the whole request, so that such bytes do not extend it.
         m_requestTimer.expires_after(std::chrono::milliseconds(m_shared->options.requestTimeout));
         m_requestTimer.async_wait([self](asio::error_code error) {
             if (!error && !self->m_handed)
@@ -158,8 +158,8 @@
 
     void Connection::handleBytes(std::size_t count)
     {
-        // What follows the end of a refused or answered request is read only to let the response through: closing with
-        // unread bytes would reset the connection and take the response with it.
+        // Bytes after a refused or answered request are read and discarded, since closing with unread bytes would reset
+        // the connection and the client could lose the response.
         if (m_lastQueued)
             return;
         if (m_handed) {
@@ -221,7 +221,7 @@
 
     void Connection::writeChunk(std::string_view chunk)
     {
-        // An empty chunk would end the stream.
+        // An empty chunk would mark the end of the stream.
         if (!isOpen() || !m_streaming || chunk.empty())
             return;
         if (m_outputBytes + chunk.size() > m_shared->options.maxStreamBytes) {
@@ -361,7 +361,7 @@
         asio::ip::tcp::acceptor m_acceptor;
         asio::steady_timer m_retryTimer;
         std::shared_ptr<Shared> m_shared;
-        /// Gone with the server; a completion that was queued before checks it, since cancelling comes too late for it.
+        /// Expires with the server. Checked by completions that were already queued and can no longer be cancelled.
         std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
     };
 
@@ -381,8 +381,8 @@
 
     void Server::admit(asio::ip::tcp::socket socket)
     {
-        // Load: more clients than descriptors and buffers are meant for. Harm: the process runs out of both and fails
-        // for the clients it has. Limit: a surplus connection is closed at once, before it takes a buffer.
+        // Too many clients would exhaust file descriptors and buffers, and existing connections would fail. A connection
+        // beyond the limit is therefore closed at once, before a buffer is allocated.
         if (m_shared->connections.size() >= m_shared->options.maxConnections)
             return;
         auto connection = std::make_shared<Connection>(std::move(socket), m_shared);
--- a/tests/http/testhttp.cpp
+++ b/tests/http/testhttp.cpp
@@ -12,7 +12,7 @@
 
 const asio::ip::tcp::endpoint anyPort(asio::ip::make_address("127.0.0.1"), 0);
 
-/// A client or server that sends given bytes, whatever they mean, and collects what comes back.
+/// A client or server that sends the given bytes, valid or not, and collects the answer.
 struct RawPeer {
     explicit RawPeer(asio::io_context& context)
         : socket(context)
@@ -77,8 +77,8 @@
         return handlers;
     }
 
-    // A client on a failing path sends half a request, a hostile one sends garbage, too much, or one byte at a time.
-    // None may reach the handler, keep its place among the connections, or harm the next client.
+    // Clients send incomplete, malformed, oversized or very slow requests. None may reach the handler, keep its connection
+    // open, or affect the next client.
     void badRequestsReachNoHandler()
     {
         serve({ .maxBodyBytes = 100, .requestTimeout = 150 }, [this](const HttpRequest&, const std::shared_ptr<HttpResponder>& responder) {
@@ -117,8 +117,8 @@
         CPPUNIT_ASSERT_EQUAL(std::string("fine"), ended.response->body);
     }
 
-    // An upstream dies in the middle of an answer, or something on the path cuts or swallows it. The crew would read a
-    // half answer as the whole one. Each must end as an error with its cause.
+    // An upstream fails in the middle of an answer, or the network truncates or loses it. A partial answer must never be
+    // taken for a complete one: each case must end with the error that names its cause.
     void badResponsesAreErrors()
     {
         struct Case {
@@ -169,8 +169,8 @@
         CPPUNIT_ASSERT(!ended.outcome.mayHaveReached);
     }
 
-    // A feed runs on while its reader stands still. What the reader has not taken must wait in the sockets, not grow in
-    // this process, and arrive whole when the reader goes on.
+    // The server keeps sending while the client has paused reading. Unread data must stay in the socket buffers instead of
+    // accumulating in the client, and must arrive completely after resume().
     void streamPausesAndResumes()
     {
         constexpr std::size_t chunkBytes = 1000;
--- a/tests/http/testmessagereader.cpp
+++ b/tests/http/testmessagereader.cpp
@@ -24,8 +24,8 @@
         };
     }
 
-    // An answer is cut after any of its bytes, and arrives in any two parts. No cut one may pass for whole, and the parts
-    // must make the same message as the whole.
+    // A message is split at every position. The first part alone must not count as complete, and both parts together must
+    // give the same message as the whole.
     void noPartOfAMessageIsAWholeOne()
     {
         for (const std::string& message : messages()) {
