--- a/src/libruntime/clock.h
+++ b/src/libruntime/clock.h
@@ -6,14 +6,14 @@
 
 namespace kingcuptrail {
 
-/// The process's monotonic time, in milliseconds since an arbitrary start.
+/// Monotonic clock, in milliseconds since an arbitrary start.
 class Clock {
 public:
     Millis now() const;
 };
 
-/// The time of day, in Unix milliseconds. It may jump: for log lines, and to compare with what another process tells in the
-/// same clock.
+/// The wall-clock time in Unix milliseconds. It may jump, so it serves only for log lines and for comparison with
+/// wall-clock times sent by other processes.
 std::uint64_t unixMillis();
 
 }
--- a/src/libruntime/datagramsocket.cpp
+++ b/src/libruntime/datagramsocket.cpp
@@ -10,12 +10,14 @@
 
 namespace {
 
-    /// Datagrams read or sent by one system call: enough to halve its cost several times, few enough that the first one of
-    /// a batch does not wait long for the last (32 x 10 us).
+    /// Maximum number of datagrams received or sent by one system call. Large enough to amortise the call; small enough that
+    /// the first datagram of a batch waits at most about 320 us for the last (32 x 10 us).
     constexpr std::size_t batchSize = 32;
-    /// Largest datagram: a full packet of 1,236 bytes and the fields of a message around it; news of some announcements.
+    /// Maximum datagram size: a full packet of 1,236 bytes with the fields of its message, or a gossip message with several
+    /// directory entries.
     constexpr std::size_t maxDatagram = 2048;
-    /// What the host may hold while this process does not run, in bytes: a tenth of a second at 10 Mbit/s and more.
+    /// Socket receive buffer in bytes. Holds datagrams while this process is not scheduled: more than a tenth of a second at
+    /// 10 Mbit/s.
     constexpr int receiveBuffer = 1024 * 1024;
 
     struct Slot {
@@ -68,7 +70,7 @@
                 m_socket.non_blocking(true, error);
             if (error)
                 return false;
-            // A smaller buffer than asked for only loses more while this process does not run.
+            // A failure is ignored: with a smaller buffer only more datagrams are lost while this process is not scheduled.
             asio::error_code ignored;
             m_socket.set_option(asio::socket_base::receive_buffer_size(receiveBuffer), ignored);
             waitForData();
@@ -115,7 +117,8 @@
         {
             for (auto& message : m_in.messages)
                 message.msg_hdr.msg_namelen = sizeof(sockaddr_in);
-            // An error is news of a datagram that some host did not take (ECONNREFUSED); reading goes on.
+            // An error such as ECONNREFUSED reports that an earlier datagram was not accepted by its receiver; reading
+            // continues.
             const int count = recvmmsg(m_socket.native_handle(), m_in.messages.data(), batchSize, MSG_DONTWAIT, nullptr);
             if (count <= 0)
                 return;
@@ -153,7 +156,7 @@
                     m_out.messages[index].msg_hdr.msg_namelen = sizeof(sockaddr_in);
                 const int count = sendmmsg(m_socket.native_handle(), m_out.messages.data() + done, static_cast<unsigned>(m_out.used - done), MSG_DONTWAIT);
                 if (count <= 0) {
-                    // The first of the rest was not taken; the others may go elsewhere.
+                    // The first remaining datagram could not be sent; the others may have different receivers.
                     ++m_counts.sendFailed;
                     ++done;
                     continue;
--- a/src/libruntime/datagramsocket.h
+++ b/src/libruntime/datagramsocket.h
@@ -24,21 +24,22 @@
 struct DatagramCounts {
     std::uint64_t received = 0;
     std::uint64_t sent = 0;
-    /// Datagrams that the host would not take; as lost as any other that the network drops.
+    /// Datagrams that could not be sent: too large, or refused by the operating system. They are not sent again.
     std::uint64_t sendFailed = 0;
 };
 
-/// A UDP socket that reads in batches, and gathers what is sent while a batch is handled into one system call. A packet
-/// costs no allocation. Lives in one io_context's thread.
+/// A UDP socket that receives in batches and sends the datagrams queued while a batch is handled with one system call.
+/// Sending and receiving need no allocation. Must be used from the thread that runs its io_context.
 class DatagramSocket {
 public:
     using Handler = std::function<void(std::span<std::uint8_t> datagram, const asio::ip::udp::endpoint& sender)>;
 
-    /// Nothing, with the reason in `error`, when the address cannot be bound.
+    /// Binds a socket and begins to receive. Returns null, with the reason in `error`, when the address cannot be bound.
     static std::unique_ptr<DatagramSocket> open(asio::io_context& context, const asio::ip::udp::endpoint& endpoint, Handler handler, DatagramError& error);
     virtual ~DatagramSocket() = default;
 
-    /// Queues a copy of the datagram; it leaves at the end of the batch in hand, or at once outside of one.
+    /// Queues a copy of the datagram. It is sent at the end of the current batch or, outside of one, in the next turn of the
+    /// event loop.
     virtual void send(std::span<const std::uint8_t> datagram, const asio::ip::udp::endpoint& receiver) = 0;
 
     virtual asio::ip::udp::endpoint localEndpoint() const = 0;
--- a/src/libruntime/events.h
+++ b/src/libruntime/events.h
@@ -13,7 +13,7 @@
 
 namespace kingcuptrail {
 
-/// Events that daemons log. Numbers are kept for ever: operators' alarms name them. docs/EVENTS.md explains each.
+/// Events that daemons log. The numbers never change, since operators' alerts refer to them. docs/EVENTS.md explains each.
 enum class Event : std::uint16_t {
     // Process
     DaemonStarted = 100,
@@ -92,32 +92,32 @@
     std::string_view action;
 };
 
-/// Every event, in the order of their numbers.
+/// All events, ordered by number.
 std::span<const EventInfo> eventTable();
 
-/// A name and value logged with an event.
+/// A named value logged with an event.
 struct EventField {
     EventField(std::string_view fieldName, std::string_view fieldValue);
     EventField(std::string_view fieldName, std::uint64_t fieldValue);
 
     std::string_view name;
     std::string value;
-    /// Set for a number, which JSON writes without quotes.
+    /// Set if the value is a number; JSON output then writes it without quotes.
     std::optional<std::uint64_t> number;
 };
 
-/// Logs "E310 memberJoined upstream=board-1 dataCentre=north" at the event's level, or the same as a JSON object.
+/// Logs an event at its level, as "E310 memberJoined upstream=board-1 dataCentre=north" or as a JSON object.
 void logEvent(Event event, std::initializer_list<EventField> fields = {});
 
-/// Logs a decision about one flow, named by its id as the field "flow". Such lines come with each request: beyond a bound
-/// they are left out and counted, so that a flood of requests does not become a flood of lines.
+/// Logs a decision about one flow, whose id is in the field "flow". Since such lines are written for each request, they are
+/// rate-limited: lines beyond the limit are omitted and counted, so that a flood of requests does not flood the log.
 void logFlowEvent(Event event, const FlowKey& flow, std::initializer_list<EventField> fields = {});
 
 /// How log lines are written.
 enum class LogFormat : std::uint8_t {
-    /// Words, to standard error.
+    /// Plain text, to standard error.
     Text,
-    /// One JSON object a line, to standard output.
+    /// One JSON object for each line, to standard output.
     Json,
 };
 
@@ -126,7 +126,7 @@
     static constexpr std::array<std::string_view, 2> names { "text", "json" };
 };
 
-/// Sets up logging for this process; false when the level's name is unknown.
+/// Sets up logging for this process. Returns false when the level's name is unknown.
 bool startLogging(std::string_view processName, std::string_view level, LogFormat format = LogFormat::Text);
 
 }
--- a/src/libruntime/loginterval.h
+++ b/src/libruntime/loginterval.h
@@ -4,8 +4,8 @@
 
 namespace kingcuptrail {
 
-/// Lets an event be logged at most once in an interval. What a peer or an overload causes a thousand times a second would
-/// otherwise fill the log and cost more than the work itself; the counters have every one.
+/// Limits an event to one log line in each interval. Events that a peer or an overload causes a thousand times a second
+/// would otherwise fill the log and cost more than the work itself. The metrics still count every event.
 class LogInterval {
 public:
     /// `interval` in milliseconds.
@@ -14,7 +14,7 @@
     {
     }
 
-    /// Whether to log now; otherwise the event is counted as left out.
+    /// Returns whether to log now; otherwise counts the event as omitted.
     bool isDue(Millis now)
     {
         if (m_isUsed && now - m_loggedAt < m_interval) {
@@ -26,7 +26,7 @@
         return true;
     }
 
-    /// How many were left out since the last one that was logged; counted anew from here.
+    /// Returns the number of omitted events since the last call, and resets it.
     std::uint64_t takeLeftOut()
     {
         const std::uint64_t leftOut = m_leftOut;
--- a/src/libruntime/logsink.cpp
+++ b/src/libruntime/logsink.cpp
@@ -15,7 +15,7 @@
 
 bool LineBudget::take(std::uint64_t nowMillis)
 {
-    // The time of day may jump back; the budget then waits for the next line.
+    // The wall clock may jump back; the bucket is then not refilled before the next line.
     const std::uint64_t passed = nowMillis > m_refilledAt ? nowMillis - m_refilledAt : 0;
     m_refilledAt = nowMillis;
     m_tokens = std::min(mostLines, m_tokens + linesPerMilli * static_cast<double>(passed));
--- a/src/libruntime/logsink.h
+++ b/src/libruntime/logsink.h
@@ -6,13 +6,12 @@
 
 namespace kingcuptrail {
 
-/// How many lines about single flows a process writes.
-/// Load: thousands of openings a second, each of which is a decision worth a line. Harm: lines cost the processor more than
-/// the packets do. What is left out is counted and said.
+/// Token bucket that limits the log lines about single flows. With thousands of openings a second and a line for each, the
+/// lines would cost more processor time than the packets. Omitted lines are counted, and their number is logged.
 class LineBudget {
 public:
     bool take(std::uint64_t nowMillis);
-    /// How many were left out since the last call.
+    /// Returns the number of lines omitted since the last call, and resets it.
     std::uint64_t takeLeftOut();
 
 private:
@@ -21,7 +20,7 @@
     std::uint64_t m_leftOut = 0;
 };
 
-/// Writes lines to standard output without ever waiting for its reader: what the pipe does not take is left out.
+/// Writes lines to standard output without blocking: lines for which the pipe has no space are dropped.
 class NonBlockingSink : public spdlog::sinks::base_sink<std::mutex> {
 public:
     NonBlockingSink();
@@ -31,7 +30,7 @@
     void flush_() override { }
 
 private:
-    /// The rest of a line that the pipe took only a part of, so that the next line does not begin in its middle.
+    /// The rest of a line that was written in part. It is written before the next line, so that lines are not mixed.
     std::string m_rest;
 };
 
--- a/src/libruntime/metrics.cpp
+++ b/src/libruntime/metrics.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-    /// From 50 microseconds to 10 minutes in steps of about 11 %: the error of a percentile.
+    /// Range from 50 microseconds to 10 minutes in steps of about 11 %, which bounds the error of a percentile.
     constexpr double smallestMillis = 0.05;
     constexpr double largestMillis = 600000;
     constexpr int bucketCount = 160;
-    /// Only each eighth bound is exposed: a scraper keeps 20 series for a histogram and not 160.
+    /// Only every eighth bound is exposed, so that a histogram has 20 series instead of 160.
     constexpr int bucketsPerExposed = 8;
 
     using Axis = boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>;
@@ -36,7 +36,7 @@
 
 struct LatencyHistogram::Private {
     std::uint64_t countAt(int bucket) const { return histogram.at(bucket); }
-    /// The upper bound of a bucket; of the one above all, the largest sample.
+    /// The upper bound of a bucket; for the overflow bucket, the largest sample.
     double upperBound(int bucket) const { return bucket < bucketCount ? histogram.axis().value(bucket + 1) : largest; }
 
     Histogram histogram = boost::histogram::make_histogram_with(
@@ -57,7 +57,7 @@
 {
     if (!std::isfinite(millis) || millis < 0)
         return;
-    // The logarithm of 0 has no bucket.
+    // 0 has no logarithm and so no bucket; such samples go to the underflow bucket.
     m_d->histogram(std::max(millis, smallestMillis / 2));
     ++m_d->count;
     m_d->sum += millis;
--- a/src/libruntime/metrics.h
+++ b/src/libruntime/metrics.h
@@ -9,7 +9,7 @@
 
 namespace kingcuptrail {
 
-/// One counter for each value of an enumeration, as refusals by reason.
+/// One counter for each value of an enumeration, such as refusals by reason.
 template <typename Enum>
 class EnumCounters {
 public:
@@ -34,7 +34,7 @@
     std::array<std::uint64_t, EnumNames<Enum>::names.size()> m_counts {};
 };
 
-/// Latencies in milliseconds, in buckets that grow by a constant factor.
+/// Histogram of latencies in milliseconds, with buckets that grow by a constant factor.
 class LatencyHistogram {
 public:
     LatencyHistogram();
@@ -44,10 +44,10 @@
 
     void record(double millis);
     std::uint64_t count() const;
-    /// The upper bound of the bucket that holds this part of the samples (0.99 for the 99th percentile); 0 without samples.
+    /// The upper bound of the bucket that contains the given quantile (0.99 for the 99th percentile); 0 without samples.
     double percentile(double part) const;
 
-    /// Appends buckets, sum and count in text exposition format.
+    /// Appends buckets, sum and count in the Prometheus text exposition format.
     void expose(std::string& out, std::string_view name, std::string_view help) const;
 
 private:
@@ -55,7 +55,7 @@
     std::unique_ptr<Private> m_d;
 };
 
-/// Appends one metric line with its help and type.
+/// Append one metric with its help and type lines.
 void exposeCounter(std::string& out, std::string_view name, std::string_view help, std::uint64_t value);
 void exposeGauge(std::string& out, std::string_view name, std::string_view help, double value);
 
--- a/src/libruntime/settings.cpp
+++ b/src/libruntime/settings.cpp
@@ -13,13 +13,13 @@
 
     using nlohmann::json;
 
-    /// Far more than any settings file needs; keeps a wrong file from being read as one.
+    /// Far more than any settings file needs. Prevents parsing a large file that was named by mistake.
     constexpr std::size_t maxSettingsBytes = std::size_t { 64 } * 1024;
-    /// A link is given up only after at least two heartbeats are missing: one may be late on a busy host.
+    /// A link is closed only after at least two heartbeats are missing, since one may be late on a busy host.
     constexpr Millis heartbeatsInSilence = 2;
 
     enum class PortRule : std::uint8_t {
-        /// 0 lets the host choose, for tests.
+        /// 0 lets the operating system choose a port; used by tests.
         MayBeZero,
         MustBeSet,
     };
@@ -85,7 +85,7 @@
             const std::string place = parent + "/" + field;
             const auto endpoint = parseEndpoint(object[field].get<std::string>());
             if (!endpoint) {
-                addFault(FaultKind::BadAddress, place, "Must be an IP number and a port, as 127.0.0.1:80.");
+                addFault(FaultKind::BadAddress, place, "Must be an IP address and a port, such as 127.0.0.1:80.");
                 return {};
             }
             if (endpoint->port() == 0 && rule == PortRule::MustBeSet)
@@ -139,7 +139,7 @@
                 if (const auto seed = parseEndpoint(list[index].get<std::string>()))
                     seeds.push_back(*seed);
                 else
-                    addFault(FaultKind::BadAddress, placeOf("/packets/seeds", index), "Must be an IP number and a port, as 127.0.0.1:80.");
+                    addFault(FaultKind::BadAddress, placeOf("/packets/seeds", index), "Must be an IP address and a port, such as 127.0.0.1:80.");
             }
         }
 
@@ -148,7 +148,7 @@
             const bool hasPackets = m_document.contains("packets");
             const bool needsPackets = settings.role == DaemonRole::PacketBalancer || settings.role == DaemonRole::PacketAgent;
             if (hasPackets != needsPackets) {
-                addFault(hasPackets ? FaultKind::Inconsistent : FaultKind::MissingField, "/packets", "Goes with the roles for packets, and only with them.");
+                addFault(hasPackets ? FaultKind::Inconsistent : FaultKind::MissingField, "/packets", "Required for the roles packetBalancer and packetAgent; not allowed for other roles.");
                 return;
             }
             if (!hasPackets)
@@ -162,18 +162,18 @@
         void requirePacketField(const char* field)
         {
             if (!m_document["packets"].contains(field))
-                addFault(FaultKind::MissingField, placeOf("/packets", field), "This role needs it.");
+                addFault(FaultKind::MissingField, placeOf("/packets", field), "Required for the role packetAgent.");
         }
 
         void crossCheck(const Settings& settings)
         {
             const bool hasAgent = m_document.contains("agent");
             if (settings.role == DaemonRole::Agent && !hasAgent)
-                addFault(FaultKind::MissingField, "/agent", "The role agent needs it.");
+                addFault(FaultKind::MissingField, "/agent", "Required for the role agent.");
             if (settings.role != DaemonRole::Agent && hasAgent)
-                addFault(FaultKind::Inconsistent, "/agent", "Only the role agent has it.");
+                addFault(FaultKind::Inconsistent, "/agent", "Only allowed for the role agent.");
             if (settings.linkSilence <= heartbeatsInSilence * settings.heartbeat)
-                addFault(FaultKind::Inconsistent, "/linkSilenceMs", "Must be larger than two heartbeats.");
+                addFault(FaultKind::Inconsistent, "/linkSilenceMs", "Must be larger than twice heartbeatMs.");
             checkOverlap("/admin", settings.admin, "/listen", settings.listen);
             checkOverlap("/platform", settings.platform, "/listen", settings.listen);
             checkOverlap("/platform", settings.platform, "/admin", settings.admin);
@@ -207,7 +207,7 @@
     }
     std::vector<Fault> found;
     std::optional<Settings> settings;
-    // Cross-checks read the fields, so they need all of the right type.
+    // The cross-checks read the fields and rely on the types checked by the schema.
     if (const auto document = parseChecked(text, settingsSchema(), found))
         settings = SettingsReader(*document, found).read();
     if (found.empty())
--- a/src/libruntime/settings.h
+++ b/src/libruntime/settings.h
@@ -13,7 +13,7 @@
 enum class DaemonRole : std::uint8_t {
     Balancer,
     Agent,
-    /// The same two for flows of plain datagrams, whose callers know nothing of this system.
+    /// Balancer and agent for flows of plain datagrams, whose callers do not use this system's protocol.
     PacketBalancer,
     PacketAgent,
 };
@@ -23,45 +23,47 @@
     static constexpr std::array<std::string_view, 4> names { "balancer", "agent", "packetBalancer", "packetAgent" };
 };
 
-/// What an agent needs beyond the common settings.
+/// Settings of the agent role, in addition to the common settings.
 struct AgentSettings {
     /// The upstream's name; its id is derived from it.
     std::string upstreamName;
     std::string service;
     asio::ip::tcp::endpoint upstream;
-    /// Where balancers reach this agent when that is not where it listens, behind an address translation for example.
+    /// Address at which balancers reach this agent, if it differs from the listening address, for example behind NAT.
     std::optional<asio::ip::tcp::endpoint> announce;
     std::string healthPath = "/health";
     std::string loadPath = "/load";
-    /// How long the announcement holds without a renewal.
+    /// Duration of the announcement's lease.
     Millis lease = 15000;
-    /// How long a graceful shutdown waits for flows to end before it resets those that are idle, and for running
-    /// requests before it gives up on them.
+    /// During a graceful shutdown: the time after which idle flows are reset, and the time after which running requests are
+    /// abandoned.
     Millis drainIdle = 2000;
     Millis drainLimit = 600000;
-    /// How long a flow may say nothing before it is given up.
+    /// Time without any packet after which a flow is ended.
     Millis flowSilence = 90000;
 
     bool operator==(const AgentSettings&) const = default;
 };
 
-/// What the roles for flows of plain datagrams need beyond the common settings.
+/// Settings of the roles for flows of plain datagrams, in addition to the common settings.
 struct PacketSettings {
-    /// Where this host takes packets of flows: a balancer those of callers. Every caller takes its own at the same port.
+    /// Address at which this host receives packets of flows; on a balancer, those of callers. Every caller receives its packets
+    /// at the same port.
     asio::ip::tcp::endpoint ingress;
-    /// Where readiness is asked for (GET /ready).
+    /// Address of the readiness endpoint (GET /ready).
     asio::ip::tcp::endpoint ready;
-    /// Of an agent: where its upstream takes packets, where it sends them, and where its reports arrive.
+    /// Of an agent: the address at which its upstream receives packets, the one to which the upstream sends them, and the one at
+    /// which the agent receives the upstream's reports.
     asio::ip::tcp::endpoint upstream;
     asio::ip::tcp::endpoint outbound;
     asio::ip::tcp::endpoint control;
-    /// Hosts that may know the others; any of them may be gone.
+    /// Addresses of processes to contact at start in order to discover the others. Some may be unavailable.
     std::vector<asio::ip::tcp::endpoint> seeds;
-    /// After which time an address may belong to another upstream.
+    /// Time after which an address may be assigned to another upstream.
     Millis addressReuse = 2000;
-    /// How long the process may take to leave.
+    /// Time that the process may take to shut down gracefully.
     Millis leave = 6000;
-    /// What this host's link carries, in megabits a second.
+    /// Capacity of this host's network link, in Mbit/s.
     double linkMegabits = 1000;
 
     bool operator==(const PacketSettings&) const = default;
@@ -85,10 +87,11 @@
     bool operator==(const Settings&) const = default;
 };
 
-/// Reads a settings file: schema by a library, then cross-checks. Nothing when there is any fault; `faults` lists all.
+/// Parses a settings file and checks it against the schema and for consistency. Empty when there is any fault; all faults
+/// are appended to `faults`.
 std::optional<Settings> parseSettings(std::string_view json, std::vector<Fault>& faults);
 
-/// Parses "127.0.0.1:80"; nothing when it is not an IP number and port.
+/// Parses text such as "127.0.0.1:80" or "[::1]:80"; empty when it is not an IP address and port.
 std::optional<asio::ip::tcp::endpoint> parseEndpoint(std::string_view text);
 
 }
--- a/src/libruntime/settingsschema.cpp
+++ b/src/libruntime/settingsschema.cpp
@@ -2,8 +2,8 @@
 
 namespace kingcuptrail {
 
-// Unknown fields are matched against a schema that nothing matches, because the library reports each of them so, and only
-// the first for "additionalProperties": false.
+// Unknown fields are rejected by a schema that matches nothing, because the library then reports each of them; with
+// "additionalProperties": false it reports only the first.
 std::string_view settingsSchema()
 {
     return R"JSON({
--- a/src/libruntime/settingsschema.h
+++ b/src/libruntime/settingsschema.h
@@ -4,7 +4,7 @@
 
 namespace kingcuptrail {
 
-/// The JSON Schema of a settings file. Cross-checks that a schema cannot say are in parseSettings().
+/// The JSON Schema of a settings file. Checks that a schema cannot express are in parseSettings().
 std::string_view settingsSchema();
 
 }
--- a/src/libruntime/supervisor.cpp
+++ b/src/libruntime/supervisor.cpp
@@ -23,7 +23,8 @@
         ChildSpec spec;
         asio::steady_timer timer;
         std::unique_ptr<Supervised> running;
-        /// Names one start of the child; a report of an earlier start or of a removed child does not match.
+        /// Identifies the current start of the child; 0 while it does not run. Failure reports of an earlier start or of a
+        /// removed child do not match and are ignored.
         std::uint64_t start = 0;
         Millis startedAt = 0;
         Millis nextDelay = 0;
@@ -62,7 +63,7 @@
     Clock clock;
     std::mt19937 random;
     std::vector<std::unique_ptr<Child>> children;
-    /// Children that ended and may still be on the call stack.
+    /// Ended children, which may still be on the call stack and are destroyed later.
     std::vector<std::unique_ptr<Supervised>> ended;
     std::uint64_t lastStart = 0;
     bool gaveUp = false;
@@ -85,7 +86,7 @@
     child.start = ++lastStart;
     child.startedAt = clock.now();
     const std::uint64_t start = child.start;
-    // Copied, because the making may remove the child and its specification with it.
+    // Copied, since the factory may remove the child and its specification.
     const auto make = child.spec.make;
     auto made = make(failureHandler(start));
     if (!made) {
@@ -100,7 +101,7 @@
 
 FailureHandler Supervisor::Private::failureHandler(std::uint64_t start)
 {
-    // Handled later: the report comes from within the child, which must not be destroyed under its own feet.
+    // The failure is handled later, since the child that reports it must not be destroyed while its code is running.
     return [weak = weak_from_this(), start](ChildFailure reason) {
         const auto self = weak.lock();
         if (!self)
--- a/src/libruntime/supervisor.h
+++ b/src/libruntime/supervisor.h
@@ -37,24 +37,24 @@
     };
 };
 
-/// Something a supervisor keeps running: it runs from construction to destruction.
+/// A component managed by a supervisor. It runs from construction to destruction.
 class Supervised {
 public:
     virtual ~Supervised() = default;
 };
 
-/// Tells the supervisor that the child has failed. May be called from within the child; it is destroyed later.
+/// Reports to the supervisor that the child has failed. May be called from within the child, which is destroyed later.
 using FailureHandler = std::function<void(ChildFailure)>;
 
 struct RestartPolicy {
-    /// Wait before the first restart and before any, in milliseconds; doubled at each failure, with jitter, and back to
-    /// the first after the child has run for `steadyAfter`.
+    /// Delay before the first restart and maximum delay, in milliseconds. The delay doubles with each failure and is reset
+    /// after the child has run for `steadyAfter` milliseconds.
     Millis firstDelay = 100;
     Millis maxDelay = 3000;
     Millis steadyAfter = 10000;
-    /// Part of the delay that is random, so that children that failed together do not come back together.
+    /// Fraction of the delay that is random, so that children that failed together are not restarted together.
     double jitter = 0.5;
-    /// Failures within `window` milliseconds after which the supervisor itself fails; 0 means never.
+    /// Number of failures within `window` milliseconds at which the supervisor itself fails; 0 means no limit.
     unsigned maxFailures = 0;
     Millis window = 60000;
 };
@@ -66,15 +66,15 @@
 };
 
 struct ChildStatus {
-    /// Path in the tree, as "root/links/board-1".
+    /// Path in the supervision tree, such as "root/links/board-1".
     std::string path;
     bool isRunning = false;
     unsigned restarts = 0;
     ChildFailure lastReason = ChildFailure::None;
 };
 
-/// Keeps children running: restarts one that failed after a back-off, without touching the others. A supervisor can be
-/// the child of another; when a child fails too often it gives up and fails itself.
+/// Runs children and restarts a failed one after a backoff delay, without affecting the others. A supervisor can be the
+/// child of another; when one of its children fails too often, it reports a failure of its own.
 class Supervisor : public Supervised {
 public:
     Supervisor(asio::io_context& context, std::string name, FailureHandler onGiveUp = {});
@@ -84,10 +84,10 @@
     void remove(const std::string& name);
     bool contains(const std::string& name) const;
 
-    /// Ends all children, the last one first. For an owner that children call back when they end.
+    /// Destroys all children in reverse order. For an owner that its children call during their destruction.
     void endAll();
 
-    /// This supervisor's children and, where they are supervisors, theirs.
+    /// The status of all descendants.
     std::vector<ChildStatus> status() const;
 
 private:
--- a/tests/runtime/testsupervisor.cpp
+++ b/tests/runtime/testsupervisor.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// What the children of one test did.
+/// Counts the children created in one test and keeps the last failure handler.
 struct Record {
     int made = 0;
     int alive = 0;
@@ -27,7 +27,7 @@
     }
     ~FakeChild() override { --m_record.alive; }
 
-    /// Reports a failure from within its own call and then still uses itself.
+    /// Reports a failure from within a member function and accesses its own members afterwards.
     void failInside(const FailureHandler& fail)
     {
         fail(ChildFailure::LinkLost);
@@ -70,8 +70,8 @@
         CPPUNIT_ASSERT(condition());
     }
 
-    // One link of a daemon breaks while its other parts work. Only that link may be made again, and not while the
-    // call that reported the failure is still running in it.
+    // One link of a daemon fails while the other components work. Only that link may be restarted, and the failed child must
+    // not be destroyed while the call that reported the failure is still running in it.
     void failedChildIsRestartedAlone()
     {
         Record broken;
@@ -109,8 +109,8 @@
             CPPUNIT_ASSERT(record.madeAt[index + 1] - record.madeAt[index] >= std::chrono::milliseconds(leastMillis.at(index)));
     }
 
-    // A listener cannot bind its address however often it is tried. The part above it must hear of it, or the daemon
-    // would look alive for ever and take no connection. Both levels count, so the whole group is made again.
+    // A listener repeatedly fails to bind its address. The failure must escalate to the supervisor above; otherwise the
+    // daemon would appear to be running but accept no connection. That supervisor then restarts the whole group.
     void tooManyFailuresEscalate()
     {
         Record inner;
