--- a/src/libhistory/checkconfig.cpp
+++ b/src/libhistory/checkconfig.cpp
@@ -11,14 +11,14 @@
         const HistoryEvent* newest = nullptr;
         for (const HistoryEvent* config : daemon.configs) {
             if (newest && config->version < newest->version)
-                context.report(Promise::ConfigNeverReverts, process + " went back to an older configuration", { newest, config });
+                context.report(Promise::ConfigNeverReverts, process + " reverted to an older configuration", { newest, config });
             else
                 newest = config;
         }
     }
 
-    /// When the daemon had to have the version: later when it started later, or when the platform was down meanwhile and
-    /// the news could reach nobody.
+    /// The latest time at which the version must be in force on the daemon. Extended if the daemon started after the
+    /// change was accepted, or if the platform was down meanwhile, so that no daemon could learn of the change.
     Millis deadlineFor(const CheckContext& context, const DaemonRecord& daemon, const HistoryEvent& accepted)
     {
         Millis begin = accepted.at;
@@ -53,7 +53,7 @@
             if (deadline > context.index.end || wasAbsent(daemon, accepted.at, deadline))
                 continue;
             if (!hadInTime(daemon, accepted.version, deadline))
-                context.report(Promise::ConfigNeverReverts, process + " did not have version " + std::to_string(accepted.version) + " in time", { &accepted });
+                context.report(Promise::ConfigNeverReverts, process + " did not have version " + std::to_string(accepted.version) + " in force in time", { &accepted });
         }
     }
 
--- a/src/libhistory/checker.h
+++ b/src/libhistory/checker.h
@@ -4,25 +4,25 @@
 
 namespace kingcuptrail {
 
-/// What must always hold.
+/// A guarantee of the system that every history must satisfy.
 enum class Promise : std::uint8_t {
-    /// An established flow survives every planned change unless its data centre is out.
+    /// An established flow survives every planned change unless its data centre is out of service.
     FlowSurvives,
     /// A packet never reaches an upstream of another service.
     NoMisrouting,
-    /// An upstream in a cold start gets no more than it can bear.
+    /// An upstream in its cold start gets no more requests at once than it can process.
     ColdSpared,
-    /// A data centre that is out gets no packet after a few seconds.
+    /// A data centre gets no packets any more a few seconds after it was taken out of service.
     OutSilent,
-    /// Each caller gets the whole answer to its own request, and each upstream the whole request.
+    /// Each caller gets the complete answer to its own request, and each upstream the complete request.
     WholeAnswers,
-    /// What was refused as not run did not run.
+    /// A request that was refused as not run did not run.
     TrueRefusals,
-    /// Work that is not idempotent runs at most once.
+    /// A request that is not idempotent runs at most once.
     AtMostOnce,
-    /// A leaving upstream gets no new work after a few seconds.
+    /// A draining upstream gets no new work after a few seconds.
     LeaverNoNewWork,
-    /// A graceful shutdown cuts no request.
+    /// A graceful shutdown interrupts no request.
     ShutdownCutsNothing,
     /// An accepted configuration is in force everywhere within seconds and never reverts.
     ConfigNeverReverts,
@@ -46,20 +46,20 @@
 
 /// Times in milliseconds.
 struct CheckOptions {
-    /// The "few seconds" after which a change of membership must show everywhere.
+    /// Time after which a change of membership must have taken effect everywhere.
     Millis settle = 3000;
-    /// Within which an accepted configuration must be in force on every daemon.
+    /// Time after which an accepted configuration must be in force on every daemon.
     Millis configBound = 5000;
-    /// How long after a failure a flow or request that it cut may still end by it: the longest silence limit and some.
+    /// Time after a failure in which a flow or request may still end because of it: the longest silence limit and a margin.
     Millis notice = 10000;
-    /// How long an agent may take to notice that its upstream turned cold without warning (a fault named at it).
+    /// Time within which an agent must detect that its upstream became cold without notice, by a fault named at it.
     Millis coldDetect = 1000;
 };
 
 struct Violation {
     Promise promise = Promise::FlowSurvives;
     std::string text;
-    /// The events that show it, in the order of time.
+    /// The events that prove the violation, in order of time.
     std::vector<HistoryEvent> events;
 };
 
@@ -73,7 +73,8 @@
     std::uint64_t outcomeUnknown = 0;
     std::uint64_t doubleRuns = 0;
     std::uint64_t misrouted = 0;
-    /// Of flows opened, over the upstreams of one service: largest by mean; of the most uneven service. 0 without flows.
+    /// The largest number of flows opened at one upstream of a service, divided by the mean over its upstreams. The value
+    /// of the service with the highest ratio; 0 without flows.
     double imbalance = 0;
 };
 
@@ -82,7 +83,7 @@
     HistorySummary summary;
 };
 
-/// Checks events in the order of time, as readHistory() yields them, against each promise.
+/// Checks events against each guarantee. They must be in order of time, as readHistory() returns them.
 CheckResult checkHistory(const std::vector<HistoryEvent>& events, const CheckOptions& options = {});
 
 std::string toJson(const HistorySummary& summary);
--- a/src/libhistory/checkload.cpp
+++ b/src/libhistory/checkload.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    /// The service the work was asked of, by the caller's own word.
+    /// The first request with this key as its caller recorded it, which names the requested service.
     const HistoryEvent* requestOf(const HistoryIndex& index, const std::string& key)
     {
         const auto calls = index.callsByKey.find(key);
@@ -55,7 +55,7 @@
         const bool tooMuch = event.kind == HistoryKind::UpstreamWorkBegan && event.bearable > 0 && event.concurrent > event.bearable;
         const bool fellOver = event.kind == HistoryKind::UpstreamOverloaded;
         if ((tooMuch || fellOver) && !isJustTurnedCold(context, event))
-            context.report(Promise::ColdSpared, context.index.upstreamOf(event) + " got " + std::to_string(event.concurrent) + " requests at once and could bear " + std::to_string(event.bearable), { &event });
+            context.report(Promise::ColdSpared, context.index.upstreamOf(event) + " got " + std::to_string(event.concurrent) + " requests at once, but can process only " + std::to_string(event.bearable), { &event });
     }
 }
 
--- a/src/libhistory/checkmembership.cpp
+++ b/src/libhistory/checkmembership.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    /// The span that holds a moment later than `settle` after its beginning.
+    /// The span of `name` that contains the time `at` and began more than `settle` before it.
     const HistorySpan* settledSpanAt(const std::map<std::string, std::vector<HistorySpan>>& spans, const std::string& name, Millis at, Millis settle)
     {
         const auto found = spans.find(name);
@@ -19,7 +19,8 @@
         return nullptr;
     }
 
-    /// News of a change that was accepted just before the platform went down can reach nobody until it is back.
+    /// The time from which daemons can learn of an outage. A change that is accepted just before the platform goes down
+    /// reaches no daemon until the platform is back.
     Millis newsFrom(const HistoryIndex& index, const HistorySpan& outage, Millis settle)
     {
         Millis from = outage.from();
@@ -35,7 +36,7 @@
         return event.kind == HistoryKind::UpstreamWorkBegan || event.kind == HistoryKind::UpstreamPacket;
     }
 
-    /// Whether a call with this key was under way already when the drain began: its work is not new.
+    /// Whether a call with this key was already under way when the drain began, so that its work is not new.
     bool wasSentBefore(const HistoryIndex& index, const std::string& key, Millis at)
     {
         const auto calls = index.callsByKey.find(key);
@@ -54,7 +55,7 @@
         if (!flow.opened || !flow.ended || flow.ended->kind == HistoryKind::FlowClosed)
             continue;
         if (!context.index.isExcused(flow.upstream, flow.opened->at, flow.ended->at))
-            context.report(Promise::FlowSurvives, "flow " + std::to_string(id) + " ended though neither its upstream failed nor its data centre was out", { flow.opened, flow.ended });
+            context.report(Promise::FlowSurvives, "flow " + std::to_string(id) + " ended, but its upstream had not failed and its data centre was not out of service", { flow.opened, flow.ended });
     }
 }
 
@@ -65,7 +66,7 @@
             continue;
         const HistorySpan* span = settledSpanAt(context.index.outages, event.dataCentre, event.at, context.options.settle);
         if (span && event.at > newsFrom(context.index, *span, context.options.settle) + context.options.settle)
-            context.report(Promise::OutSilent, "data centre " + event.dataCentre + " was out and got a packet", { span->began, &event });
+            context.report(Promise::OutSilent, "data centre " + event.dataCentre + " got a packet while it was out of service", { span->began, &event });
     }
 }
 
@@ -80,7 +81,7 @@
             continue;
         const bool isOldWork = event.kind == HistoryKind::UpstreamWorkBegan && wasSentBefore(context.index, event.key, span->from());
         if (!isOldWork)
-            context.report(Promise::LeaverNoNewWork, "leaving upstream " + upstream + " got new work", { span->began, &event });
+            context.report(Promise::LeaverNoNewWork, "draining upstream " + upstream + " got new work", { span->began, &event });
     }
 }
 
--- a/src/libhistory/checkrequests.cpp
+++ b/src/libhistory/checkrequests.cpp
@@ -29,7 +29,7 @@
         return call.outcome && call.outcome->kind == kind;
     }
 
-    /// The upstreams that a call may have been at: those that ran its key, and the owner of its flow.
+    /// The upstreams that a call may have reached: those that ran its key, and the owner of its flow.
     std::vector<std::string> upstreamsOf(const HistoryIndex& index, const std::string& key, const CallRecord& call)
     {
         std::vector<std::string> result;
@@ -52,14 +52,14 @@
     void checkAnswerOf(const CheckContext& context, const std::string& key, const CallRecord& call)
     {
         if (hasOutcome(call, HistoryKind::AnswerBroken) && !isExcusedCall(context, key, call))
-            context.report(Promise::WholeAnswers, "the answer to " + key + " broke off", { call.sent, call.outcome });
+            context.report(Promise::WholeAnswers, "the answer to " + key + " broke off without a failure", { call.sent, call.outcome });
         if (!hasOutcome(call, HistoryKind::AnswerWhole))
             return;
         const bool wasGiven = std::ranges::any_of(worksOf(context.index, key), [&](const WorkRecord& work) {
             return work.ended && work.ended->bodyHash == call.outcome->bodyHash;
         });
         if (!wasGiven)
-            context.report(Promise::WholeAnswers, "no upstream gave the answer that " + key + " got", { call.sent, call.outcome });
+            context.report(Promise::WholeAnswers, "no upstream sent the answer that " + key + " received", { call.sent, call.outcome });
     }
 
     void checkRequestBody(const CheckContext& context, const std::string& key, const CallRecord& call)
@@ -67,11 +67,11 @@
         for (const WorkRecord& work : worksOf(context.index, key)) {
             const bool bothKnown = work.began->bodyHash != 0 && call.sent->bodyHash != 0;
             if (bothKnown && work.began->bodyHash != call.sent->bodyHash)
-                context.report(Promise::WholeAnswers, "an upstream got another request body than " + key + " sent", { call.sent, work.began });
+                context.report(Promise::WholeAnswers, "an upstream received a request body for " + key + " that differs from the one sent", { call.sent, work.began });
         }
     }
 
-    /// Items of one feed must follow each other: a caller would otherwise miss or repeat one without knowing.
+    /// The sequence numbers of a feed must be contiguous; otherwise a caller would miss or repeat an item undetected.
     void checkFeeds(const CheckContext& context)
     {
         std::map<std::pair<std::string, std::string>, const HistoryEvent*> last;
@@ -80,7 +80,7 @@
                 continue;
             const HistoryEvent*& previous = last[{ event.who, event.key }];
             if (previous && event.sequence != previous->sequence + 1)
-                context.report(Promise::WholeAnswers, "feed " + event.key + " has a gap or a repetition", { previous, &event });
+                context.report(Promise::WholeAnswers, "feed " + event.key + " has a missing or repeated item", { previous, &event });
             previous = &event;
         }
     }
@@ -90,7 +90,8 @@
         return call.sent->at <= at && call.outcome && call.outcome->at >= at;
     }
 
-    /// A key may be sent by several calls, of which one runs; the others are not cut when that one got the answer.
+    /// Several calls may send the same key, of which one runs. The others do not count as interrupted if that one got the
+    /// answer.
     bool wasAnsweredElsewhere(const HistoryIndex& index, const std::string& key)
     {
         const auto calls = index.callsByKey.find(key);
@@ -122,7 +123,7 @@
             const bool isExcused = isAgent ? isExcusedCall(context, key, call)
                                            : isExcusedCall(context, key, call) || context.index.anyFailure(call.sent->at, call.outcome->at);
             if (isConcerned && !isExcused)
-                context.report(Promise::ShutdownCutsNothing, key + " was cut when " + processOf(shutdown) + " shut down", { call.sent, &shutdown, call.outcome });
+                context.report(Promise::ShutdownCutsNothing, key + " was interrupted when " + processOf(shutdown) + " shut down", { call.sent, &shutdown, call.outcome });
         });
     }
 
@@ -141,7 +142,7 @@
 {
     for (const auto& [key, calls] : context.index.callsByKey) {
         for (const WorkRecord& work : worksOf(context.index, key)) {
-            // The work belongs to one of the calls sent before it; a key may be sent by several.
+            // Several calls may send the same key; the work belongs to one of those sent before it began.
             const CallRecord* refused = nullptr;
             bool isExplained = false;
             for (const CallRecord& call : calls) {
--- a/src/libhistory/checks.h
+++ b/src/libhistory/checks.h
@@ -5,14 +5,14 @@
 
 namespace kingcuptrail {
 
-/// What every check reads and where it reports.
+/// The input of every check, and the violations found so far.
 struct CheckContext {
     const std::vector<HistoryEvent>& events;
     const HistoryIndex& index;
     const CheckOptions& options;
     std::vector<Violation>& violations;
 
-    /// Null events are left out.
+    /// Adds a violation. Null events are ignored.
     void report(Promise promise, std::string text, std::initializer_list<const HistoryEvent*> shownBy) const;
 };
 
--- a/src/libhistory/history.cpp
+++ b/src/libhistory/history.cpp
@@ -26,7 +26,7 @@
         target = *parsed;
     }
 
-    /// Calls `visit(name, member)` for each field; reading and writing share the one list of names.
+    /// Calls `visit(name, member)` for each field. Used for reading and writing, so that both use the same names.
     template <typename Event, typename Visitor>
     void visitFields(Event& event, Visitor visit)
     {
@@ -145,7 +145,7 @@
             document.erase(name);
         }
     });
-    // Names may come from a peer; what is not UTF-8 must not end the writer.
+    // Names may come from a peer; invalid UTF-8 must not throw an exception here.
     return document.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
--- a/src/libhistory/history.h
+++ b/src/libhistory/history.h
@@ -9,41 +9,41 @@
 
 namespace kingcuptrail {
 
-/// What happened. The comments name the fields of HistoryEvent that a kind needs beside `at` and `who`.
+/// The kind of an event. The comments list the fields of HistoryEvent that a kind requires besides `at` and `who`.
 enum class HistoryKind : std::uint8_t {
-    // Written by callers: a call is one request of an end user with all its tries.
-    /// key, call, service, idempotent, flow where one is fixed; bodyHash of the request.
+    // Written by callers. A call is one request of an end user with all its tries.
+    /// key, call, service, idempotent, flow if the call uses a specific one; bodyHash of the request.
     RequestSent,
     /// key, call, bodyHash of the answer.
     AnswerWhole,
-    /// key, call; an answer or feed ended before its end.
+    /// key, call. An answer or feed broke off before its end.
     AnswerBroken,
     /// key, call, reason.
     RefusedNotRun,
     RefusedRan,
     RefusedUnknown,
-    /// key, call; the end user gave up, or the deadline of an idempotent request passed.
+    /// key, call. The end user cancelled the call, or the deadline of an idempotent request passed.
     CallGaveUp,
     /// flow, service, upstream or upstreamId. The flow is established.
     FlowOpened,
-    /// flow, reason; the flow ended, and neither the caller closed it nor was it given up.
+    /// flow, reason. The flow ended, but was neither closed by the caller nor given up.
     FlowBroken,
-    /// flow, reason.
+    /// flow, reason. The flow ended because its data centre was taken out of service.
     FlowGivenUp,
-    /// flow; closed by the caller.
+    /// flow. The caller closed the flow.
     FlowClosed,
-    /// key, flow, sequence; one item of a feed.
+    /// key, flow, sequence. An item of a feed arrived.
     FeedItem,
     // Written by upstreams.
     /// upstream, upstreamId, service, dataCentre.
     UpstreamStarted,
-    /// key, upstream, service, dataCentre, bodyHash of the request, concurrent, bearable.
+    /// key, upstream, service, dataCentre, bodyHash of the request, concurrent, bearable. The upstream began a request.
     UpstreamWorkBegan,
-    /// key, upstream, bodyHash of the answer, written before the answer is sent.
+    /// key, upstream, bodyHash of the answer. Written before the answer is sent.
     UpstreamWorkEnded,
-    /// upstream, concurrent, bearable; it fell over.
+    /// upstream, concurrent, bearable. The upstream failed under its load.
     UpstreamOverloaded,
-    /// upstream, dataCentre, service that the packet was for.
+    /// upstream, dataCentre, service that the packet was addressed to.
     UpstreamPacket,
     // Written by operators' tools and scenarios.
     /// version.
@@ -51,20 +51,20 @@
     /// dataCentre, version.
     OperatorTookOut,
     OperatorBroughtBack,
-    /// dataCentre. The change is asked for; it may take effect before the operators hear that it was accepted.
+    /// dataCentre. The change was requested. It may take effect before the operators learn that it was accepted.
     OperatorBeganTakeOut,
     /// process, version.
     ConfigInForce,
     /// process, upstream.
     DrainBegan,
-    /// process, upstream where it is an agent.
+    /// process, upstream if it is an agent.
     ShutdownBegan,
-    /// process, role, upstream, dataCentre where it has them.
+    /// process, role, and upstream and dataCentre if it has them.
     ProcessStarted,
     ProcessKilled,
     ProcessFrozen,
     ProcessContinued,
-    /// process and upstream where it has them; what else was broken on purpose.
+    /// process and upstream if the fault concerns them. A fault other than a kill or a freeze was injected or removed.
     FaultBegan,
     FaultEnded,
 };
@@ -120,16 +120,17 @@
 
 /// One line of a history. Fields left at their defaults are not written.
 struct HistoryEvent {
-    /// The host's monotonic clock, in milliseconds: comparable over the processes of one host. 0: filled in when written.
+    /// Time of the host's monotonic clock in milliseconds, comparable between the processes of one host. If 0, filled in
+    /// by HistoryWriter.
     Millis at = 0;
-    /// Who saw it, as "caller-1". Filled in when written.
+    /// The process that recorded the event, such as "caller-1". If empty, filled in by HistoryWriter.
     std::string who;
     HistoryKind kind = HistoryKind::RequestSent;
     std::string process;
     ProcessRole role = ProcessRole::Other;
-    /// The idempotency key: names the work, also across calls that repeat it.
+    /// The idempotency key, the same for all calls that repeat the request.
     std::string key;
-    /// Tells calls of one caller apart that share a key.
+    /// Distinguishes calls of one caller that share a key.
     std::uint64_t call = 0;
     FlowId flow = 0;
     std::string service;
@@ -139,12 +140,12 @@
     bool idempotent = true;
     std::uint64_t bodyHash = 0;
     ConfigVersion version = 0;
-    /// Requests in work at the upstream, this one included, and how many it can bear at that moment.
+    /// Requests being processed by the upstream, this one included, and how many it can process at that moment.
     std::uint32_t concurrent = 0;
     std::uint32_t bearable = 0;
     std::uint64_t sequence = 0;
     RefusalReason reason = RefusalReason::None;
-    /// For people; the checker does not read it.
+    /// Description for human readers; not used by the checker.
     std::string detail;
 };
 
@@ -161,18 +162,18 @@
     static constexpr std::array<std::string_view, 5> names { "none", "cannotOpen", "notJson", "unknownEvent", "badField" };
 };
 
-/// Where reading stopped.
+/// The error that ended reading, and its location.
 struct HistoryFault {
     HistoryError error = HistoryError::None;
     std::string file;
     std::size_t line = 0;
 };
 
-/// Appends events to a file, one JSON object a line. Each line is handed to the host at once, so that what a killed
-/// process saw is not lost with it.
+/// Appends events to a file, one JSON object per line. Each line is flushed at once, so that no event is lost when the
+/// process is killed.
 class HistoryWriter {
 public:
-    /// Nothing when the file cannot be opened for appending.
+    /// Returns null when the file cannot be opened for appending.
     static std::unique_ptr<HistoryWriter> open(const std::string& file, std::string who);
 
     ~HistoryWriter();
@@ -188,14 +189,15 @@
     std::unique_ptr<Private> m_d;
 };
 
-/// The line for one event, without a line break.
+/// Serialises an event to a line, without a line break.
 std::string toJsonLine(const HistoryEvent& event);
 
-/// Reads one line; nothing, with the reason in `error`, when it is not an event.
+/// Parses one line. Returns nothing and sets `error` when it is not a valid event.
 std::optional<HistoryEvent> parseJsonLine(std::string_view line, HistoryError& error);
 
-/// Reads files and merges them by time; events of one file stay in their order. A last line without a line break is
-/// left out: its writer was killed while it wrote. Nothing at the first fault.
+/// Reads files and merges their events by time; events of one file with equal times keep their order. A last line without
+/// a line break is ignored, since its writer was killed while writing it. Returns nothing at the first error and sets
+/// `fault`.
 std::optional<std::vector<HistoryEvent>> readHistory(const std::vector<std::string>& files, HistoryFault& fault);
 
 }
--- a/src/libhistory/historyindex.cpp
+++ b/src/libhistory/historyindex.cpp
@@ -33,7 +33,8 @@
         return found != map.end() && anyOverlap(found->second, start, end);
     }
 
-    /// A freeze ends only with its own continuation and a fault only with its own end; a kill ends with the next start.
+    /// Whether an event of kind `ended` ends a failure of kind `began`. Continuing a process ends its freeze, and the end
+    /// of a fault that fault; the next start of the process ends a kill, a freeze or a shutdown.
     bool endsWith(HistoryKind began, HistoryKind ended)
     {
         switch (ended) {
@@ -55,7 +56,7 @@
         }
     }
 
-    /// An outcome belongs to the latest call without one of the same caller, key and number.
+    /// The call that an outcome belongs to: the latest one without an outcome of the same caller, key and call number.
     CallRecord* findOpenCall(std::vector<CallRecord>& calls, const HistoryEvent& event)
     {
         const auto found = std::find_if(calls.rbegin(), calls.rend(), [&](const CallRecord& call) {
@@ -174,7 +175,7 @@
         const bool isRestart = serviceOfUpstream.contains(name);
         serviceOfUpstream[name] = event.service;
         dataCentreOfUpstream[name] = event.dataCentre;
-        // It lost what it held, whoever stopped it.
+        // The restarted upstream has lost its flows and requests, whatever the reason of the restart.
         if (isRestart)
             failures[name].push_back({ .began = &event, .until = event.at });
         return;
--- a/src/libhistory/historyindex.h
+++ b/src/libhistory/historyindex.h
@@ -9,7 +9,7 @@
 
 constexpr Millis endOfTime = std::numeric_limits<Millis>::max() / 4;
 
-/// A stretch of time, with the event that began it.
+/// A period of time, with the event that began it.
 struct HistorySpan {
     const HistoryEvent* began = nullptr;
     Millis until = endOfTime;
@@ -18,49 +18,50 @@
     bool overlaps(Millis start, Millis end) const { return from() <= end && start <= until; }
 };
 
-/// One call of an end user.
+/// A call of an end user.
 struct CallRecord {
     const HistoryEvent* sent = nullptr;
-    /// Null while it has none.
+    /// Null when no outcome was recorded.
     const HistoryEvent* outcome = nullptr;
 };
 
-/// One run of a request at an upstream.
+/// An execution of a request at an upstream.
 struct WorkRecord {
     const HistoryEvent* began = nullptr;
-    /// Null when it never ended.
+    /// Null when it did not end.
     const HistoryEvent* ended = nullptr;
 };
 
 struct FlowRecord {
     const HistoryEvent* opened = nullptr;
     const HistoryEvent* ended = nullptr;
-    /// Empty when no event tells which upstream owns it.
+    /// Empty when the history does not state which upstream owns the flow.
     std::string upstream;
 };
 
-/// A daemon and the times at which it could not be expected to act.
+/// A daemon, and the periods in which it was stopped, frozen or faulty.
 struct DaemonRecord {
     std::vector<const HistoryEvent*> starts;
     std::vector<HistorySpan> absences;
     std::vector<const HistoryEvent*> configs;
 };
 
-/// The events of one history by subject. Keeps pointers into the events, which must outlive it.
+/// Index of the events of a history by subject. Holds pointers into the events, which must outlive it.
 struct HistoryIndex {
     /// `failureNotice` is CheckOptions::notice.
     HistoryIndex(const std::vector<HistoryEvent>& events, Millis failureNotice);
 
-    /// Whether what lived from `start` to `end` may have ended because its upstream, its agent or its data centre failed or
-    /// was out. A failure long before the end is no excuse: what survived it did not end by it.
+    /// Whether a flow or call that lasted from `start` to `end` may have ended because its upstream or agent failed or its
+    /// data centre was out of service. Failures that ended more than `notice` before `end` do not count, since the flow or
+    /// call survived them.
     bool isExcused(const std::string& upstream, Millis start, Millis end) const;
 
-    /// The same of any process killed or frozen and any other fault.
+    /// The same for a failure of any process and any other fault.
     bool anyFailure(Millis start, Millis end) const;
 
     bool isIdempotent(const std::string& key) const;
 
-    /// The name for an event that may carry only the id.
+    /// The name of an event's upstream, also when the event carries only the id.
     std::string upstreamOf(const HistoryEvent& event) const;
 
     Millis notice;
@@ -70,15 +71,15 @@
     std::map<FlowId, FlowRecord> flows;
     /// By data centre.
     std::map<std::string, std::vector<HistorySpan>> outages;
-    /// By data centre, accepted outages from the moment in which operators asked for them: from then on flows there may be
-    /// given up, since daemons may hear of the acceptance before the operators do.
+    /// By data centre, accepted outages from the time of the operators' request: flows there may end from then on, since
+    /// daemons may learn of the accepted change before the operators do.
     std::map<std::string, std::vector<HistorySpan>> outagesAsked;
-    /// By data centre, the last outage that was asked for and not accepted yet.
+    /// By data centre, the last outage that was requested and not accepted yet.
     std::map<std::string, const HistoryEvent*> asksForOutage;
-    /// By upstream; failures of the upstream or its agent, and drains.
+    /// By upstream: failures of the upstream or its agent, and drains.
     std::map<std::string, std::vector<HistorySpan>> failures;
     std::map<std::string, std::vector<HistorySpan>> drains;
-    /// Faults named at an upstream.
+    /// By upstream: injected faults that name it.
     std::map<std::string, std::vector<HistorySpan>> upstreamFaults;
     std::vector<HistorySpan> allFailures;
     std::vector<HistorySpan> platformFaults;
--- a/tests/histories/testhistories.cpp
+++ b/tests/histories/testhistories.cpp
@@ -10,22 +10,22 @@
 
 constexpr std::uint64_t fixedSeeds = 200;
 
-// Seeds that showed a fault, each mended since:
+// Seeds that exposed a fault, since fixed:
 constexpr std::array<std::uint64_t, 9> seedsWithFaults {
-    20, // A warm-up counted from before its upstream was back: two requests while it bore one.
-    37, // A balancer behind with its news reset flows of a data centre that had come back.
-    174, // A balancer went on after a pause and opened an ended flow again: a refused request ran.
-    395, // An agent went on after a pause in a data centre that was out, and took packets from before.
-    417, // The same, with a request that had waited in its queue.
-    465, // A returned agent took a balancer that linked later for one that had to be waited for, and reset its flows.
-    2053, // A leaving agent exited before a caller had heard that its idle flow was closed.
+    20, // A warm-up was counted from before its upstream had restarted: two requests where it could process one.
+    37, // A balancer with a stale configuration reset flows of a data centre that had returned to service.
+    174, // A balancer resumed after a pause and reopened a closed flow: a request refused as not run did run.
+    395, // An agent in a data centre out of service resumed after a pause and accepted packets from before it.
+    417, // The same, with a request that was waiting in the agent's queue.
+    465, // A returned agent waited for a balancer that had linked only after the return, and reset its flows.
+    2053, // A draining agent exited before a caller had received the close of its idle flow.
     2806, // The same, while the platform was down.
-    3315, // The packet that closed an idle flow was lost, and the caller counted a broken one.
+    3315, // The packet that closed an idle flow was lost, and the caller counted the flow as broken.
 };
 
 struct GuardCase {
     GuardOff guard;
-    /// What the checker must report without it, in one of a few seeds.
+    /// The violation that the checker must report, in one of a few seeds, when the guard is off.
     Promise promise;
     std::uint64_t firstSeed;
 };
@@ -62,9 +62,10 @@
 
 }
 
-// What callers would see: flows cut, requests run twice or refused untruly, answers of others, while balancers, agents
-// and upstreams die and stand still, packets are lost, doubled and late, news is uneven, the platform is down, operators
-// race and data centres go out and come back, all overlapping as each seed draws them.
+// Guards against broken flows, requests that run twice or are wrongly refused as not run, and mixed-up answers. Each seed
+// determines overlapping faults: balancers, agents and upstreams are killed or paused, packets are lost, duplicated or
+// delayed, configuration changes spread unevenly, the platform is down, operators make conflicting changes, and data
+// centres are taken out of service and return.
 class TestHistories : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(TestHistories);
     CPPUNIT_TEST(fixedSeedsKeepEveryPromise);
--- a/tests/histories/testlonghistories.cpp
+++ b/tests/histories/testlonghistories.cpp
@@ -23,7 +23,7 @@
 
 }
 
-// The same as TestHistories over many more seeds: failures that meet once in thousands of histories.
+// The same as TestHistories with many more seeds, for combinations of faults that occur once in thousands of histories.
 class TestLongHistories : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(TestLongHistories);
     CPPUNIT_TEST(everySeedKeepsEveryPromise);
--- a/tests/history/testhistory.cpp
+++ b/tests/history/testhistory.cpp
@@ -47,8 +47,8 @@
         }
     }
 
-    // An upstream is killed while it writes its history. What it wrote before must still count, and its half line must
-    // not make the whole run unreadable; half a line in the middle of a file is a fault.
+    // An upstream may be killed while it writes its history. Its complete lines must be read and an incomplete last line
+    // ignored; an incomplete line in the middle of a file is an error.
     void filesAreMergedByTime()
     {
         const std::string folder = "/tmp/kingcuptrail-history-" + std::to_string(getpid());
