--- a/src/kingcuptrailctl/applycommand.cpp
+++ b/src/kingcuptrailctl/applycommand.cpp
@@ -38,7 +38,7 @@
         members["lagging"] = lagList(inForce.lagging);
         members["tookMs"] = inForce.took;
         if (inForce.daemons == 0)
-            return makeResult(ExitCode::Success, text + "no daemon has entered itself yet\n", std::move(members));
+            return makeResult(ExitCode::Success, text + "no daemon is registered in the platform yet\n", std::move(members));
         if (inForce.isEverywhere())
             return makeResult(ExitCode::Success, text + "in force on " + std::to_string(inForce.daemons) + " daemons after " + std::to_string(inForce.took) + " ms\n", std::move(members));
         Table table({ "LAGGING", "ADMIN", "STATE" });
@@ -52,10 +52,10 @@
         json members { { "version", report.version }, { "changed", report.changed }, { "platformError", nameOf(report.platformError) } };
         const std::string version = "version " + std::to_string(report.version);
         if (report.error == ApplyError::Conflict)
-            return makeResult(ExitCode::Conflict, "lost to " + version + "\n", std::move(members));
+            return makeResult(ExitCode::Conflict, "not accepted: conflicts with " + version + "\n", std::move(members));
         if (report.error != ApplyError::None)
             return makeResult(exitCodeOf(report.error), {}, std::move(members));
-        std::string text = report.changed ? "accepted as " + version + "\n" : "no change against " + version + "\n";
+        std::string text = report.changed ? "accepted as " + version + "\n" : "no changes compared with " + version + "\n";
         if (!options.wait)
             return makeResult(ExitCode::Success, std::move(text), std::move(members));
         return describeInForce(waitInForce(report.version, options), std::move(text), std::move(members));
--- a/src/kingcuptrailctl/blocking.h
+++ b/src/kingcuptrailctl/blocking.h
@@ -6,7 +6,8 @@
 
 namespace kingcuptrail {
 
-/// Runs the context until `begin`'s callback was called with a result. The tool does one thing at a time.
+/// Calls `begin` and runs the context until its callback is called with a result; used by commands, which make one call
+/// at a time. Returns a default result if the context runs out of work first.
 template <typename Result>
 Result awaitResult(asio::io_context& context, const std::function<void(std::function<void(Result)>)>& begin)
 {
--- a/src/kingcuptrailctl/commands.cpp
+++ b/src/kingcuptrailctl/commands.cpp
@@ -7,16 +7,16 @@
 namespace {
 
     constexpr auto commands = std::to_array<CommandInfo>({
-        { "check", "FILE", false, checkFile, "list every fault of a configuration file" },
-        { "diff", "FILE", true, diffFile, "show what applying a file would change" },
-        { "apply", "FILE", true, applyFile, "accept a file as a whole, or change nothing" },
-        { "take-out", "NAME", true, takeOut, "take a data centre out: it gets no packets, its flows are given up" },
-        { "bring-back", "NAME", true, bringBack, "bring a data centre back" },
-        { "status", "", true, showStatus, "show the configuration, the daemons and the upstreams" },
-        { "explain", "CODE|REASON", false, explain, "say what an event number or a reason means and what to do" },
-        { "trace", "FLOW", false, traceFlow, "walk through the lines about one flow, from logs or standard input" },
-        { "openings", "SPAN", false, showOpenings, "count what became of openings in each span of so many milliseconds, from logs or standard input" },
-        { "forget", "NAME", true, forgetDaemon, "remove the entry of a daemon that will not come back" },
+        { "check", "FILE", false, checkFile, "validate a configuration file and list all errors" },
+        { "diff", "FILE", true, diffFile, "show the changes that applying a file would make" },
+        { "apply", "FILE", true, applyFile, "apply a configuration file, completely or not at all" },
+        { "take-out", "NAME", true, takeOut, "take a data centre out of service: it gets no more packets, and its flows end" },
+        { "bring-back", "NAME", true, bringBack, "return a data centre to service" },
+        { "status", "", true, showStatus, "show the configuration and the state of daemons and upstreams" },
+        { "explain", "CODE|REASON", false, explain, "explain an event number or a reason, and what to do about it" },
+        { "trace", "FLOW", false, traceFlow, "list the log lines about one flow in order of time, from log files or standard input" },
+        { "openings", "SPAN", false, showOpenings, "count the results of flow openings per interval of SPAN milliseconds, from log files or standard input" },
+        { "forget", "NAME", true, forgetDaemon, "remove a daemon that will not return from the platform's list" },
     });
 
     std::string usageOf(const CommandInfo& command)
@@ -52,12 +52,12 @@
         return makeResult(ExitCode::Usage, "commands:\n" + commandList());
     const auto found = std::find_if(commands.begin(), commands.end(), [&words](const CommandInfo& command) { return command.name == words[0]; });
     if (found == commands.end())
-        return makeResult(ExitCode::Usage, "there is no command " + words[0] + "; commands:\n" + commandList());
+        return makeResult(ExitCode::Usage, "unknown command " + words[0] + "; commands:\n" + commandList());
     const std::size_t wantedWords = found->argument.empty() ? 1 : 2;
     if (words.size() != wantedWords)
         return makeResult(ExitCode::Usage, "usage: kingcuptrailctl " + usageOf(*found) + "\n");
     if (found->needsPlatform && !options.platform)
-        return makeResult(ExitCode::Usage, "this command needs --platform=ADDRESS:PORT\n");
+        return makeResult(ExitCode::Usage, "this command requires --platform=ADDRESS:PORT\n");
     return found->run(wantedWords == 2 ? words[1] : std::string(), options);
 }
 
--- a/src/kingcuptrailctl/commands.h
+++ b/src/kingcuptrailctl/commands.h
@@ -9,18 +9,18 @@
 
 namespace kingcuptrail {
 
-/// What the command line says besides the command and its argument.
+/// The flags of the command line.
 struct CtlOptions {
     std::optional<asio::ip::tcp::endpoint> platform;
-    /// Administration endpoints to ask; empty means those that the platform knows.
+    /// Administration endpoints to query; if empty, those of the daemons registered in the platform.
     std::vector<asio::ip::tcp::endpoint> daemons;
-    /// The one daemon that explain asks.
+    /// The administration endpoint that explain queries.
     std::optional<asio::ip::tcp::endpoint> daemon;
-    /// Log files that trace and openings read; empty means standard input.
+    /// Log files that trace and openings read; if empty, standard input.
     std::vector<std::string> logs;
     /// Return only when the change is in force on every daemon.
     bool wait = false;
-    /// Limit of a change, and of the wait for it to be in force, in milliseconds.
+    /// Time limit of a change, and of the wait until it is in force, in milliseconds.
     Millis timeout = 30000;
 };
 
@@ -28,7 +28,7 @@
 
 struct CommandInfo {
     std::string_view name;
-    /// How the argument is called in the usage; empty when there is none.
+    /// Name of the argument in the usage; empty when the command has none.
     std::string_view argument;
     bool needsPlatform;
     Command run;
@@ -37,10 +37,10 @@
 
 std::span<const CommandInfo> commandTable();
 
-/// The commands with their arguments, one a line.
+/// The commands with their arguments and help texts, one per line.
 std::string commandList();
 
-/// Runs the command that `words` name, or says what is wrong with them.
+/// Runs the command given by `words`. Returns a usage error when they are not a valid command.
 CommandResult runCommand(std::span<const std::string> words, const CtlOptions& options);
 
 CommandResult checkFile(const std::string& path, const CtlOptions& options);
@@ -54,7 +54,7 @@
 CommandResult traceFlow(const std::string& flow, const CtlOptions& options);
 CommandResult forgetDaemon(const std::string& name, const CtlOptions& options);
 
-/// The platform's options for this tool.
+/// The platform client's options for this tool.
 PlatformOptions platformOptions(const CtlOptions& options);
 
 }
--- a/src/kingcuptrailctl/daemons.cpp
+++ b/src/kingcuptrailctl/daemons.cpp
@@ -14,9 +14,9 @@
 
     constexpr int statusOk = 200;
 
-    /// Load: a status of the whole fleet, thousands of daemons. Harm: all connections at once would need more
-    /// descriptors than a process has, and a burst of them on every host at the same moment. Limit: so many at a time
-    /// finish thousands within seconds, since one answer takes milliseconds.
+    /// Limits concurrent queries. Connecting to thousands of daemons at once would need more file descriptors than a
+    /// process may open, and cause a burst of connections on every host. As one answer takes milliseconds, thousands of
+    /// daemons can still be queried within seconds.
     constexpr std::size_t maxCallsAtOnce = 64;
 
     std::optional<DaemonEntry> parseEntry(const PlatformObject& object)
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Asks many daemons, a bounded number at a time.
+    /// Queries the status of many daemons, at most maxCallsAtOnce at a time.
     class Asking {
     public:
         Asking(const std::vector<DaemonEntry>& daemons, Millis timeout)
--- a/src/kingcuptrailctl/daemons.h
+++ b/src/kingcuptrailctl/daemons.h
@@ -7,7 +7,7 @@
 
 namespace kingcuptrail {
 
-/// A daemon's entry in the platform, or an address given on the command line.
+/// A daemon registered in the platform, or given by its address on the command line.
 struct DaemonEntry {
     /// The address when the name is not known.
     std::string name;
@@ -16,7 +16,7 @@
     asio::ip::tcp::endpoint admin;
 };
 
-/// A part of a daemon that its supervisor keeps running.
+/// A child of a daemon's supervisor.
 struct DaemonChild {
     std::string path;
     bool isRunning = false;
@@ -24,7 +24,7 @@
     std::string lastReason;
 };
 
-/// What a daemon says of itself.
+/// The status reported by a daemon.
 struct DaemonStatus {
     std::string name;
     std::string role;
@@ -32,30 +32,31 @@
     ConfigVersion configVersion = 0;
     bool isStopping = false;
     std::vector<DaemonChild> children;
-    /// The whole answer, as JSON.
+    /// The complete answer, as JSON.
     std::string json;
 };
 
 struct DaemonAnswer {
     DaemonEntry entry;
-    /// Nothing when the daemon did not answer; `error` says why.
+    /// Not set when the daemon did not return a valid status; `error` then states why.
     std::optional<DaemonStatus> status;
     HttpError error = HttpError::None;
 
-    /// The name it gives itself, or the one in its entry.
+    /// The name in the daemon's status, or else the one in its entry.
     std::string name() const { return status && !status->name.empty() ? status->name : entry.name; }
 };
 
-/// The daemons to ask: those of the command line, or all that the platform knows; nothing with the reason.
+/// The daemons to query: those of the command line, or else all that are registered in the platform. Returns nothing and
+/// sets `reason` when the platform cannot list them.
 std::optional<std::vector<DaemonEntry>> findDaemons(const CtlOptions& options, PlatformError& reason);
 
-/// Asks each daemon for its status, in the order given.
+/// Queries the status of each daemon; the answers are in the order of `daemons`.
 std::vector<DaemonAnswer> askDaemons(const std::vector<DaemonEntry>& daemons, Millis timeout);
 
-/// The body of a GET from one daemon; nothing with the reason.
+/// The body of a daemon's answer to a GET request. Returns nothing and sets `reason` on failure.
 std::optional<std::string> askDaemon(const asio::ip::tcp::endpoint& admin, const std::string& target, Millis timeout, HttpError& reason);
 
-/// Kind of the objects in which daemons enter themselves.
+/// Kind of the platform objects in which daemons register.
 inline const std::string daemonKind = "daemon";
 
 }
--- a/src/kingcuptrailctl/exitcode.cpp
+++ b/src/kingcuptrailctl/exitcode.cpp
@@ -7,23 +7,23 @@
 namespace {
 
     constexpr std::array<std::string_view, EnumNames<ExitCode>::names.size()> meanings {
-        "done",
-        "the command line is wrong",
+        "the command succeeded",
+        "invalid command line",
         "the file cannot be read",
-        "the file has faults; each is listed with its kind and place",
-        "the platform cannot be reached; nothing was changed",
-        "no answer came: the change may or may not be accepted; run the same command again to find out",
-        "another change was accepted in between; nothing was changed, look at diff and decide again",
-        "no configuration was accepted yet",
+        "the configuration file has errors; each is listed with its kind and place",
+        "the platform is unreachable; nothing was changed",
+        "the platform did not answer, so the change may or may not have been accepted; run the same command again to find out",
+        "another change was accepted meanwhile; nothing was changed, check diff before trying again",
+        "no configuration has been applied yet",
         "no data centre has this name",
-        "no data centre would be left to serve; nothing was changed",
-        "the platform holds something that is not a configuration",
-        "the platform refused the write",
-        "accepted, but not in force on every daemon; those that lag are named",
-        "accepted, but the daemons could not be learned from the platform; try status",
-        "the daemon's administration endpoint does not answer",
-        "there is no such code or reason",
-        "no daemon has this name",
+        "no data centre would remain in service; nothing was changed",
+        "the object stored in the platform is not a valid configuration",
+        "the platform rejected the write",
+        "the configuration is not in force on every daemon; the output lists the others",
+        "the change was accepted, but the platform could not list the daemons; try status",
+        "the daemon's administration endpoint does not return a valid answer",
+        "no such code or reason, or no log line about the flow",
+        "no daemon with this name is registered in the platform",
     };
 
 }
--- a/src/kingcuptrailctl/exitcode.h
+++ b/src/kingcuptrailctl/exitcode.h
@@ -7,7 +7,7 @@
 
 namespace kingcuptrail {
 
-/// How a command ended, as the exit code of the process. Scripts compare these numbers: add at the end only.
+/// The result of a command and exit code of the process. Scripts depend on the numbers, so new codes are only appended.
 enum class ExitCode : std::uint8_t {
     Success,
     Usage,
@@ -51,10 +51,10 @@
     };
 };
 
-/// What an exit code means to an operator.
+/// The meaning of an exit code, for the operator.
 std::string_view meaningOf(ExitCode code);
 
-/// All exit codes with their numbers, names and meanings, one a line.
+/// A table of all exit codes with their numbers, names and meanings.
 std::string exitCodeTable();
 
 ExitCode exitCodeOf(ApplyError error);
--- a/src/kingcuptrailctl/explaincommand.cpp
+++ b/src/kingcuptrailctl/explaincommand.cpp
@@ -14,13 +14,13 @@
 
     constexpr Millis askTimeout = 2000;
 
-    /// One counter of a daemon's metrics that bears the reason.
+    /// A counter of a daemon's metrics with the reason as label.
     struct ReasonCount {
         std::string metric;
         std::uint64_t count = 0;
     };
 
-    /// Reads lines as: kingcuptrail_refusals_total{reason="queueFull"} 3
+    /// Parses metrics lines such as: kingcuptrail_refusals_total{reason="queueFull"} 3
     std::vector<ReasonCount> countsOf(const std::string& metrics, const std::string& name)
     {
         const std::string label = "reason=\"" + name + "\"";
@@ -35,7 +35,7 @@
         return counts;
     }
 
-    /// What one daemon says about the reason: how often it met it, and where it is the last reason of a part.
+    /// Adds a daemon's data to an explanation: its counters of the reason, and the last failures of its children.
     CommandResult askAbout(const std::string& name, std::string text, json members, const asio::ip::tcp::endpoint& admin)
     {
         HttpError reason = HttpError::None;
@@ -59,7 +59,7 @@
             table.add({ child.path, (child.isRunning ? "running, last reason " : "stopped, last reason ") + child.lastReason });
             members["lastReasons"].push_back({ { "path", child.path }, { "running", child.isRunning }, { "lastReason", child.lastReason } });
         }
-        text += table.isEmpty() ? status.name + " has not met it, and no part of it has failed\n" : table.text();
+        text += table.isEmpty() ? status.name + " has no count of this reason, and none of its components has failed\n" : table.text();
         return makeResult(ExitCode::Success, std::move(text), std::move(members));
     }
 
--- a/src/kingcuptrailctl/explanations.h
+++ b/src/kingcuptrailctl/explanations.h
@@ -14,7 +14,7 @@
 
 namespace kingcuptrail {
 
-/// What a reason means and what an operator can do about it.
+/// The meaning of a reason or event, and what an operator can do about it.
 struct Explanation {
     std::string_view meaning;
     std::string_view action;
@@ -28,15 +28,16 @@
 Explanation explanationOf(ApplyError error);
 Explanation explanationOf(ChildFailure failure);
 
-/// An explanation found by a name or number.
+/// An explanation with the name that it was found by.
 struct FoundExplanation {
-    /// What it is the reason of, as "refusal".
+    /// The kind of the reason, such as "refusal".
     std::string subject;
     std::string name;
     Explanation explanation;
 };
 
-/// All that bear this name, or the event of this number ("310" or "E310"). Some names stand in several tables.
+/// The explanations of all reasons and events with this name, or of the event with this number ("310" or "E310"). A name
+/// may be used for several kinds of reasons.
 std::vector<FoundExplanation> findExplanations(std::string_view codeOrName);
 
 }
--- a/src/kingcuptrailctl/filecommands.cpp
+++ b/src/kingcuptrailctl/filecommands.cpp
@@ -65,7 +65,7 @@
     if (!config)
         return failure;
     const std::string counts = std::to_string(config->services.size()) + " services, " + std::to_string(config->dataCentres.size()) + " data centres";
-    return makeResult(ExitCode::Success, path + ": no fault; " + counts + "\n",
+    return makeResult(ExitCode::Success, path + ": no errors; " + counts + "\n",
         { { "file", path }, { "faults", json::array() }, { "services", config->services.size() }, { "dataCentres", config->dataCentres.size() } });
 }
 
@@ -76,7 +76,7 @@
     if (!wanted)
         return failure;
     const Fetched present = fetchConfig(options);
-    // Before the first apply there is nothing to compare with, and all would be added.
+    // Before the first apply the platform holds no configuration, and everything in the file counts as added.
     if (!present.config && present.error != PlatformError::NotFound)
         return makeResult(exitCodeOf(present.error), {}, { { "platformError", nameOf(present.error) } });
     const Config from = present.config.value_or(Config {});
@@ -86,8 +86,8 @@
         table.add({ std::string(nameOf(change.kind)), change.name, change.detail });
         list.push_back({ { "kind", nameOf(change.kind) }, { "name", change.name }, { "detail", change.detail } });
     }
-    const std::string against = "against version " + std::to_string(from.version);
-    const std::string text = table.isEmpty() ? "no change " + against + "\n" : against + ":\n" + table.text();
+    const std::string against = "compared with version " + std::to_string(from.version);
+    const std::string text = table.isEmpty() ? "no changes " + against + "\n" : against + ":\n" + table.text();
     return makeResult(ExitCode::Success, text, { { "version", from.version }, { "changes", list } });
 }
 
--- a/src/kingcuptrailctl/filecommands.h
+++ b/src/kingcuptrailctl/filecommands.h
@@ -7,7 +7,7 @@
 
 namespace kingcuptrail {
 
-/// Reads and checks a configuration file. Nothing when it cannot be read or has faults; `failure` then says so.
+/// Reads and validates a configuration file. Returns nothing and sets `failure` when it cannot be read or has errors.
 std::optional<Config> readConfigFile(const std::string& path, CommandResult& failure);
 
 }
--- a/src/kingcuptrailctl/forgetcommand.cpp
+++ b/src/kingcuptrailctl/forgetcommand.cpp
@@ -15,7 +15,7 @@
 
 }
 
-// The removal is conditional on the entry that was read: a daemon that has entered itself again meanwhile stays.
+// Removes only the version of the entry that was read, so that a daemon that registers again meanwhile is kept.
 CommandResult forgetDaemon(const std::string& name, const CtlOptions& options)
 {
     asio::io_context context;
@@ -35,7 +35,7 @@
         return makeResult(ExitCode::OutcomeUnknown);
     if (removal.error != PlatformError::None)
         return makeResult(exitCodeOf(removal.error), {}, { { "platformError", nameOf(removal.error) } });
-    return makeResult(ExitCode::Success, name + ": forgotten\n", { { "name", name } });
+    return makeResult(ExitCode::Success, name + ": removed\n", { { "name", name } });
 }
 
 }
--- a/src/kingcuptrailctl/inforce.cpp
+++ b/src/kingcuptrailctl/inforce.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-    /// How long one daemon may take to answer, in milliseconds; one that is stopped must not hold up the others long.
+    /// Time limit for the answer of one daemon, in milliseconds; a stopped daemon must not delay the others for long.
     constexpr Millis askTimeout = 2000;
 
-    /// Load: a wait that lasts, over thousands of daemons. Harm: asking each without a pause loads every host for the
-    /// sake of one operator's prompt. Limits: at first often, since most changes are in force within a second, then
-    /// more slowly; and only those that still lag are asked again.
+    /// Pauses between polls, in milliseconds. Polling thousands of daemons without pauses would load every host. The
+    /// first pauses are short, since most changes are in force within a second; then they double. Only daemons without
+    /// the version are polled again.
     constexpr Millis firstPause = 50;
     constexpr Millis longestPause = 1000;
 
--- a/src/kingcuptrailctl/inforce.h
+++ b/src/kingcuptrailctl/inforce.h
@@ -4,23 +4,23 @@
 
 namespace kingcuptrail {
 
-/// Whether a version is in force everywhere, and where it is not.
+/// Whether a version is in force on all daemons, and on which it is not.
 struct InForce {
-    /// False when the daemons could not be learned.
+    /// False when the platform could not list the daemons.
     bool isKnown = true;
     std::size_t daemons = 0;
-    /// Daemons that do not answer or have an older version.
+    /// Daemons that do not answer or have an older version in force.
     std::vector<DaemonAnswer> lagging;
-    /// How long it took, in milliseconds.
+    /// Duration of the wait, in milliseconds.
     Millis took = 0;
 
     bool isEverywhere() const { return isKnown && lagging.empty(); }
 };
 
-/// Asks all daemons until each has this version or a later one in force, or the time is over.
+/// Polls all daemons until each has this version or a later one in force, or until the timeout in `options`.
 InForce waitInForce(ConfigVersion version, const CtlOptions& options);
 
-/// Why a daemon lags, as "at version 3" or "connectFailed".
+/// Why the version is not known to be in force on a daemon, such as "at version 3" or "connectFailed".
 std::string lagOf(const DaemonAnswer& answer);
 
 }
--- a/src/kingcuptrailctl/loglines.h
+++ b/src/kingcuptrailctl/loglines.h
@@ -7,14 +7,15 @@
 
 namespace kingcuptrail {
 
-/// Calls `take` with each line of the logs that `options` names, or of standard input. The result of a file that cannot be
-/// read; nothing when all were read.
+/// Calls `take` for each line of the log files in `options`, or else of standard input. Returns an error result when a file
+/// cannot be read, otherwise nothing.
 std::optional<CommandResult> readLogs(const CtlOptions& options, const std::function<void(const std::string&)>& take);
 
-/// The JSON object of a line, also behind a collector's own time; not an object when there is none.
+/// The JSON object in a line, which may follow a prefix such as a log collector's timestamp. Not a JSON object when the
+/// line contains none.
 nlohmann::json logObject(const std::string& line);
 
-/// A field of a line; empty or 0 where it is missing or of another type.
+/// The value of a field; empty or 0 when it is missing or of another type.
 std::string textOf(const nlohmann::json& line, std::string_view field);
 std::uint64_t numberOf(const nlohmann::json& line, std::string_view field);
 
--- a/src/kingcuptrailctl/main.cpp
+++ b/src/kingcuptrailctl/main.cpp
@@ -9,12 +9,12 @@
 #include <iostream>
 
 ABSL_FLAG(std::string, platform, "", "the platform's object API, as ADDRESS:PORT");
-ABSL_FLAG(std::vector<std::string>, daemons, {}, "administration endpoints to ask, ADDRESS:PORT,...; otherwise those that the platform knows");
-ABSL_FLAG(std::string, daemon, "", "for explain: the administration endpoint of one daemon to ask about the reason");
-ABSL_FLAG(std::vector<std::string>, logs, {}, "for trace and openings: log files, FILE,...; otherwise standard input");
+ABSL_FLAG(std::vector<std::string>, daemons, {}, "administration endpoints to query, ADDRESS:PORT,...; by default those of the daemons registered in the platform");
+ABSL_FLAG(std::string, daemon, "", "for explain: the administration endpoint of a daemon whose counts of the reason are shown");
+ABSL_FLAG(std::vector<std::string>, logs, {}, "for trace and openings: log files, FILE,...; by default standard input");
 ABSL_FLAG(bool, json, false, "print one JSON object");
-ABSL_FLAG(bool, wait, false, "return only when the change is in force on every daemon, or name those that lag");
-ABSL_FLAG(double, timeout, 30, "seconds after which a change, and the wait for it, are given up");
+ABSL_FLAG(bool, wait, false, "wait until the change is in force on every daemon; after the timeout, list the daemons where it is not");
+ABSL_FLAG(double, timeout, 30, "time limit in seconds of a change, and of the wait until it is in force");
 
 namespace {
 
@@ -22,11 +22,11 @@
 
 constexpr const char* flagHelp = "flags:\n"
                                  "  --platform=ADDRESS:PORT      the platform's object API\n"
-                                 "  --daemons=ADDRESS:PORT,...   administration endpoints to ask; otherwise those that the platform knows\n"
-                                 "  --daemon=ADDRESS:PORT        for explain: one daemon to ask about the reason\n"
-                                 "  --logs=FILE,...              for trace and openings: log files; otherwise standard input\n"
-                                 "  --wait                       return only when the change is in force on every daemon\n"
-                                 "  --timeout=SECONDS            after which a change, and the wait for it, are given up (30)\n"
+                                 "  --daemons=ADDRESS:PORT,...   administration endpoints to query; by default those of the daemons registered in the platform\n"
+                                 "  --daemon=ADDRESS:PORT        for explain: a daemon whose counts of the reason are shown\n"
+                                 "  --logs=FILE,...              for trace and openings: log files; by default standard input\n"
+                                 "  --wait                       wait until the change is in force on every daemon\n"
+                                 "  --timeout=SECONDS            time limit of a change, and of the wait until it is in force (30)\n"
                                  "  --json                       print one JSON object\n"
                                  "  --version, --help\n";
 
@@ -35,7 +35,7 @@
     return std::string("kingcuptrailctl [flags] COMMAND [ARGUMENT]\n\ncommands:\n") + commandList() + "\n" + flagHelp + "\nexit codes:\n" + exitCodeTable();
 }
 
-/// Abseil's own help ends with exit code 1 and lists only flags.
+/// Replaces Abseil's built-in help, which ends with exit code 1 and lists only flags.
 bool isHelpWanted(int argc, char** argv)
 {
     return std::any_of(argv + 1, argv + argc, [](std::string_view word) { return word == "--help" || word == "-h" || word == "help"; });
@@ -87,7 +87,7 @@
     const auto rest = absl::ParseCommandLine(argc, argv);
     const auto options = parseOptions();
     if (!options)
-        return print(makeResult(ExitCode::Usage, "an address is ADDRESS:PORT with an IP number, and a timeout is above 0\n"));
+        return print(makeResult(ExitCode::Usage, "invalid flag: an endpoint is ADDRESS:PORT with a numeric IP address, and a timeout is greater than 0\n"));
     const std::vector<std::string> words(rest.begin() + 1, rest.end());
     return print(runCommand(words, *options));
 }
--- a/src/kingcuptrailctl/openingscommand.cpp
+++ b/src/kingcuptrailctl/openingscommand.cpp
@@ -11,20 +11,20 @@
 
 namespace {
 
-    /// What the logs tell of openings in one span of time.
+    /// Counts of flow openings in an interval, from the logs.
     struct OpeningSpan {
         std::uint64_t offers = 0;
         std::uint64_t refusals = 0;
         std::map<std::string, std::uint64_t> refusalsByReason;
-        /// How long admitted openings had waited at their agents, in milliseconds.
+        /// Waiting times of admitted openings at their agents, in milliseconds.
         std::vector<std::uint64_t> waits;
-        /// How long it took until a flow was known to be lost, in milliseconds.
+        /// Times until the loss of a flow was detected, in milliseconds.
         std::vector<std::uint64_t> lostAfter;
         std::uint64_t uncertainSearches = 0;
         std::uint64_t linesLeftOut = 0;
     };
 
-    /// The value below which this part of the values lies; 0 without any.
+    /// The value below which the fraction `part` of the values lies; 0 without values.
     std::uint64_t quantile(std::vector<std::uint64_t> values, double part)
     {
         if (values.empty())
@@ -81,7 +81,7 @@
     std::uint64_t length = 0;
     const auto [end, error] = std::from_chars(argument.data(), argument.data() + argument.size(), length);
     if (error != std::errc() || end != argument.data() + argument.size() || length == 0)
-        return makeResult(ExitCode::Usage, "a span is a whole number of milliseconds above 0\n", { { "span", argument } });
+        return makeResult(ExitCode::Usage, "SPAN must be a whole number of milliseconds greater than 0\n", { { "span", argument } });
     std::map<std::uint64_t, OpeningSpan> spans;
     const auto failure = readLogs(options, [&](const std::string& text) {
         const json line = logObject(text);
--- a/src/kingcuptrailctl/result.h
+++ b/src/kingcuptrailctl/result.h
@@ -7,18 +7,18 @@
 
 namespace kingcuptrail {
 
-/// What a command has to say, in both forms.
+/// The result of a command, as text and as JSON.
 struct CommandResult {
     ExitCode code = ExitCode::Success;
-    /// For people, with a line break at the end.
+    /// Text for standard output. Ends with a line break unless empty.
     std::string text;
-    /// For people, what went wrong, with a line break at the end; empty on success.
+    /// Error message for standard error. Ends with a line break; empty on success.
     std::string problem;
-    /// For scripts: one JSON object.
+    /// The result as one JSON object, for scripts.
     std::string json;
 };
 
-/// Adds "result" and "exitCode" to the members, and says what a failure means.
+/// Builds a result: adds "result" and "exitCode" to `members` as its JSON, and sets the error message of a failure.
 CommandResult makeResult(ExitCode code, std::string text, nlohmann::json members);
 CommandResult makeResult(ExitCode code, std::string text = {});
 
--- a/src/kingcuptrailctl/statuscommand.cpp
+++ b/src/kingcuptrailctl/statuscommand.cpp
@@ -18,7 +18,7 @@
 
     constexpr Millis askTimeout = 2000;
 
-    /// What the platform holds, read at one time.
+    /// The configuration and presences stored in the platform.
     struct PlatformView {
         std::optional<Config> config;
         PlatformError configError = PlatformError::NoAnswer;
@@ -54,7 +54,7 @@
         return view;
     }
 
-    /// One section of the report, in both forms.
+    /// A section of the report, as text and as JSON.
     struct Section {
         std::string text;
         json members;
@@ -114,8 +114,8 @@
 
 }
 
-// The daemons are asked even when the platform is down, if they are named on the command line: that is when an operator
-// most needs to see them.
+// Daemons given on the command line are queried even when the platform is down, since operators need their status most
+// then.
 CommandResult showStatus(const std::string&, const CtlOptions& options)
 {
     const PlatformView view = viewPlatform(options);
--- a/src/kingcuptrailctl/table.h
+++ b/src/kingcuptrailctl/table.h
@@ -5,7 +5,7 @@
 
 namespace kingcuptrail {
 
-/// A readable table: columns as wide as their widest cell, two spaces apart.
+/// A text table. Each column is as wide as its widest cell, with two spaces between columns.
 class Table {
 public:
     explicit Table(std::vector<std::string> head);
--- a/src/kingcuptrailctl/tracecommand.cpp
+++ b/src/kingcuptrailctl/tracecommand.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-    /// One line of a log that is about the flow.
+    /// A log line about the flow.
     struct TraceLine {
         std::uint64_t time = 0;
         std::string process;
@@ -19,7 +19,7 @@
         json document;
     };
 
-    /// Fields that have a column of their own, or are the same in every line.
+    /// Whether a field has its own column or is the same in every line.
     bool isShownElsewhere(const std::string& field)
     {
         constexpr std::array<std::string_view, 6> names { "time", "level", "process", "event", "name", "flow" };
--- a/tests/ctl/testcommands.cpp
+++ b/tests/ctl/testcommands.cpp
@@ -23,7 +23,7 @@
     return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
 }
 
-/// The platform and daemons that the tool talks to, in a thread of their own, since its commands block.
+/// The platform and daemons that the tool connects to. They run in a separate thread, since the tool's commands block.
 class Surroundings {
 public:
     Surroundings()
@@ -42,7 +42,7 @@
     Surroundings(const Surroundings&) = delete;
     Surroundings& operator=(const Surroundings&) = delete;
 
-    /// Runs an action in the thread of the platform and the daemons.
+    /// Runs an action in that thread and waits for it.
     template <typename Action>
     void at(Action action)
     {
@@ -54,7 +54,7 @@
         done.get_future().wait();
     }
 
-    /// A daemon that says it has this version in force; nothing means whatever the platform has.
+    /// Adds a daemon that reports this version in force, or by default the version stored in the platform.
     asio::ip::tcp::endpoint addDaemon(const std::string& name, std::optional<ConfigVersion> version)
     {
         asio::ip::tcp::endpoint admin;
@@ -191,8 +191,8 @@
         run(ExitCode::PlatformUnreachable, { "status" });
     }
 
-    // One daemon's watch hangs, another was killed. The operator who waits must learn which, and that the change is
-    // accepted all the same.
+    // One daemon does not get the change and another was killed. The result of a wait must list both, and still report the
+    // change as accepted.
     void waitNamesTheDaemonsThatLag()
     {
         m_around->addDaemon("quick", std::nullopt);
@@ -242,7 +242,8 @@
         CPPUNIT_ASSERT(run(ExitCode::Success, { "status" }).at("daemons").empty());
     }
 
-    // Two processes' logs hold lines of two flows, junk and a line that was cut off; the flow's own come out in order.
+    // Log files may contain lines of several processes and flows, other text and truncated lines. Only complete lines of the
+    // given flow may be listed, in order of time.
     void traceOrdersLinesOfOneFlow()
     {
         const std::string path = "trace-" + std::to_string(getpid()) + ".log";
@@ -268,7 +269,7 @@
         CPPUNIT_ASSERT(unreadable.code == ExitCode::FileUnreadable);
     }
 
-    // Guards against figures that a cut line, or a field of another type, spoils.
+    // Guards against wrong counts because of truncated lines or fields of another type.
     void openingsAreCountedBySpan()
     {
         const std::string path = "openings-" + std::to_string(getpid()) + ".log";
