--- a/src/libhistory/checker.h
+++ b/src/libhistory/checker.h
@@ -4,7 +4,7 @@
 
 namespace kingcuptrail {
 
-/// A guarantee of the system that every history must satisfy.
+/// A promise of the system to its users, which every history must keep.
 enum class Promise : std::uint8_t {
     /// An established flow survives every planned change unless its data centre is out of service.
     FlowSurvives,
@@ -50,7 +50,7 @@
     Millis settle = 3000;
     /// Time after which an accepted configuration must be in force on every daemon.
     Millis configBound = 5000;
-    /// Time after a failure in which a flow or request may still end because of it: the longest silence limit and a margin.
+    /// Time after a failure in which a flow or request may still end because of it: the longest silence limit plus a margin.
     Millis notice = 10000;
     /// Time within which an agent must detect that its upstream became cold without notice, by a fault named at it.
     Millis coldDetect = 1000;
@@ -83,7 +83,7 @@
     HistorySummary summary;
 };
 
-/// Checks events against each guarantee. They must be in order of time, as readHistory() returns them.
+/// Checks events against each promise. They must be in order of time, as readHistory() returns them.
 CheckResult checkHistory(const std::vector<HistoryEvent>& events, const CheckOptions& options = {});
 
 std::string toJson(const HistorySummary& summary);
--- a/tests/history/testchecker.cpp
+++ b/tests/history/testchecker.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// A history that violates one guarantee, and a variant that differs in a few lines and violates none.
+/// A history that breaks one promise, and a variant that differs in a few lines and breaks none.
 struct Twin {
     Promise promise;
     const char* story;
