--- a/src/kingcuptrailctl/exitcode.cpp
+++ b/src/kingcuptrailctl/exitcode.cpp
@@ -19,7 +19,7 @@
         "no data centre would remain in service; nothing was changed",
         "the object stored in the platform is not a valid configuration",
         "the platform rejected the write",
-        "the configuration is not in force on every daemon; the output lists the others",
+        "the configuration is not in force on every daemon; the output names those that lag",
         "the change was accepted, but the platform could not list the daemons; try status",
         "the daemon's administration endpoint does not return a valid answer",
         "no such code or reason, or no log line about the flow",
