--- a/bench/libmodel/admissionmodel.cpp
+++ b/bench/libmodel/admissionmodel.cpp
@@ -13,16 +13,16 @@
 namespace {
 
     constexpr Millis spanLength = 500;
-    /// From the admission of an opening to its request at the upstream, when the caller is still there.
+    /// Time from the admission of an opening until its request reaches the upstream, if the caller still waits.
     constexpr Millis handshake = 5;
-    /// For how long an opening whose caller has left counts as work.
+    /// Time for which an admitted opening occupies the agent after its caller has given up.
     constexpr Millis abandonedWork = 50;
     constexpr Millis newsInterval = 200;
 
     struct ModelCaller {
         Millis askedAt = 0;
         std::uint32_t retriesLeft = 0;
-        /// Counts its openings; what belongs to an earlier one is over.
+        /// Number of its latest opening; timers of earlier openings are ignored.
         std::uint32_t attempt = 0;
         bool isAccepted = false;
         bool isDone = false;
@@ -87,7 +87,7 @@
             return m_callers.size() - 1;
         }
 
-        /// Callers that asked while nobody was there are heard of with their next copy.
+        /// Schedules the callers that started during the outage: the agents receive the next copy of their opening packet.
         void scheduleOutage()
         {
             const OpeningSchedule schedule;
@@ -98,7 +98,7 @@
                 const auto next = std::ranges::find_if(ages, [askedAt](Millis age) { return askedAt + age >= 0; });
                 if (next == ages.end())
                     continue;
-                // At the time of giving up a new flow is tried, of which this is the first packet.
+                // A caller that gives up opens a new flow, and this is the first packet of that flow.
                 const bool looksNew = m_arrivals.chance(m_options.lostFlowShare) || *next == schedule.giveUp;
                 const std::uint32_t copies = looksNew ? 0 : static_cast<std::uint32_t>(next - ages.begin()) + 1;
                 m_loop.at(toMicros(askedAt + *next), [this, caller, copies] { open(caller, copies); });
@@ -152,7 +152,7 @@
             asker.isAccepted = false;
             ++asker.attempt;
             m_loop.at(toMicros(startedAt + OpeningSchedule {}.giveUp), [this, caller, attempt = asker.attempt] { giveUp(caller, attempt); });
-            // The flow's key carries the caller's number.
+            // The address in the flow's key holds the index of the caller.
             const FlowKey flow { .caller = { .address = static_cast<std::uint32_t>(caller) } };
             const bool isQueued = enqueue(server.queue, { .flow = flow, .startedAt = startedAt, .arrivedAt = now(), .timelyUntil = startedAt + timelyWait() }, m_options.slots);
             if (!isQueued)
@@ -242,7 +242,7 @@
         }
 
         AdmissionModelOptions m_options;
-        /// Apart, so that every policy meets the same callers.
+        /// Separate generators, so that every policy gets the same sequence of callers.
         RandomSource m_arrivals;
         RandomSource m_choices;
         RandomSource m_work;
--- a/bench/libmodel/admissionmodel.h
+++ b/bench/libmodel/admissionmodel.h
@@ -7,13 +7,13 @@
 
 namespace kingcuptrail {
 
-/// In which order an agent admits openings that wait.
+/// The order in which an agent admits waiting openings.
 enum class AdmissionOrder : std::uint8_t {
-    /// As they came.
+    /// In order of arrival.
     Arrival,
-    /// The newest that can be answered in time first; late ones fill every place at the upstream that is left.
+    /// Newest timely opening first; late openings take any remaining capacity of the upstream.
     NewestFirst,
-    /// The same, but late ones get idle slots only.
+    /// As NewestFirst, but late openings take idle slots only.
     LateInIdleSlots,
 };
 
@@ -22,7 +22,7 @@
     static constexpr std::array<std::string_view, 3> names { "arrival", "newestFirst", "lateInIdleSlots" };
 };
 
-/// What an agent tells of the openings that wait.
+/// Which waiting openings an agent includes in the load that it reports.
 enum class LoadNews : std::uint8_t {
     AllWaiting,
     TimelyWaiting,
@@ -33,38 +33,40 @@
     static constexpr std::array<std::string_view, 2> names { "allWaiting", "timelyWaiting" };
 };
 
-/// Callers with deadlines and retries before the agents of one service; every request opens a flow. All times in
-/// milliseconds.
+/// Options of a model in which callers with deadlines and retries open flows at the agents of one service. Every request
+/// opens a flow. All times are in milliseconds.
 struct AdmissionModelOptions {
     std::uint64_t seed = 1;
     std::uint32_t upstreams = 42;
     std::uint32_t slots = 2;
     double meanWork = 33;
-    /// How much slower upstreams work while they are cold, and for how long after the start.
+    /// Factor by which cold upstreams are slower, and the time after the start during which they are cold.
     double coldFactor = 1.0;
     Millis coldFor = 0;
     Millis latencyTarget = 250;
     Millis deadline = 1500;
     std::uint32_t retries = 2;
-    /// Work that is asked for, in parts of what warm upstreams can do.
+    /// Offered load, as a fraction of the capacity of warm upstreams.
     double load = 0.5;
-    /// For how long before the start nobody was there: who asked meanwhile sends on by the schedule of copies.
+    /// Length of an outage that ends at the start. Callers whose request falls into it retransmit their opening packet by the
+    /// usual schedule.
     Millis outage = 0;
-    /// Part of the outage's callers that held a flow which is lost: they open a new one, which looks as if they had just asked.
+    /// Fraction of the outage's callers that lost an open flow. Each opens a new flow, so that its request appears new to
+    /// the agent.
     double lostFlowShare = 0.67;
     Millis duration = 4000;
     AdmissionOrder order = AdmissionOrder::LateInIdleSlots;
     LoadNews news = LoadNews::TimelyWaiting;
-    /// Openings that may wait at an agent for each slot, and for how long.
+    /// Limit of waiting openings for each slot of an agent, and the longest time that one may wait.
     std::uint32_t waitingPerSlot = AdmissionQueueOptions {}.waitingPerSlot;
     Millis longestWait = AdmissionQueueOptions {}.longestWait;
-    /// Work that may be at an upstream for each of its slots while timely openings wait.
+    /// Limit of admitted openings and requests for each slot of an upstream while timely openings wait.
     double workPerSlot = 2.0;
-    /// Part of the latency target after which an opening that still waits counts as late.
+    /// Fraction of the latency target after which a waiting opening counts as late.
     double timelyShare = 0.5;
 };
 
-/// What became of the requests that were asked in one span of time.
+/// Numbers of requests made within one interval, by outcome.
 struct AdmissionOutcome {
     std::uint32_t asked = 0;
     std::uint32_t inTime = 0;
@@ -72,10 +74,10 @@
     std::uint32_t lost = 0;
 };
 
-/// The outcome for each half second from the start.
+/// Runs the model and returns the outcomes for each half second from the start.
 std::vector<AdmissionOutcome> runAdmissionModel(const AdmissionModelOptions&);
 
-/// All of them in one.
+/// The sum of the outcomes.
 AdmissionOutcome sumOf(const std::vector<AdmissionOutcome>&);
 
 }
--- a/bench/libmodel/eventloop.h
+++ b/bench/libmodel/eventloop.h
@@ -8,15 +8,16 @@
 
 namespace kingcuptrail {
 
-/// A length of time or a point in virtual time, in microseconds: links of the model take 1 to 1.5 ms.
+/// A duration or a point in virtual time, in microseconds. Milliseconds are too coarse: a link of the model has a delay of
+/// 1 to 1.5 ms.
 using Micros = std::int64_t;
 
 constexpr Micros microsPerMilli = 1000;
 
 constexpr Micros toMicros(Millis time) { return time * microsPerMilli; }
 
-/// Runs actions in virtual time. Actions of the same time run in the order in which they were scheduled, so that one
-/// seed always gives the same run.
+/// Runs actions in virtual time. Actions that are due at the same time run in the order in which they were scheduled, so
+/// that a run depends on its seed alone.
 class EventLoop {
 public:
     using Action = std::function<void()>;
@@ -24,11 +25,11 @@
     Micros now() const { return m_now; }
     Millis nowMillis() const { return m_now / microsPerMilli; }
 
-    /// Schedules an action; one in the past runs next.
+    /// Schedules an action. A time in the past counts as the current time.
     void at(Micros time, Action action);
     void after(Micros delay, Action action) { at(m_now + delay, std::move(action)); }
 
-    /// Runs everything due up to and including `end`, and leaves the clock there.
+    /// Runs all actions that are due up to and including `end`, and sets the clock to `end`.
     void runUntil(Micros end);
 
     std::uint64_t executed() const { return m_executed; }
--- a/bench/libmodel/experiment.h
+++ b/bench/libmodel/experiment.h
@@ -14,57 +14,57 @@
 struct ServiceSpec {
     std::string name;
     std::size_t targets = 1;
-    /// Requests a warm target can work on at once.
+    /// Requests that a warm target can process concurrently.
     std::uint32_t slots = 1;
     std::uint32_t queueLimit = 64;
-    /// Flows held open at each target on average.
+    /// Mean number of open flows for each target.
     std::size_t flowsPerTarget = 100;
-    /// How long the agent's warm-up from one slot to all takes at least.
+    /// Minimum time in which the agent's warm-up raises its limit from one slot to all.
     Millis warmUp = 5000;
-    /// How long a started target really needs until it bears all its slots.
+    /// Time that a started target needs until it can serve requests in all its slots.
     Millis coldFor = 4000;
-    /// A target dies when it works on more than this many times what it bears; 0 means it only gets slower.
+    /// A target crashes when it processes more than this factor times what it can serve; with 0 it only gets slower.
     double fallOverFactor = 0;
 };
 
 /// The hosts and paths of the modelled deployment.
 struct DeploymentSpec {
     std::vector<std::string> dataCentres;
-    /// One way, in milliseconds.
+    /// One-way delays in milliseconds.
     double betweenDataCentres = 1;
     double withinDataCentre = 0.1;
     double toCallers = 1;
     std::size_t balancers = 4;
-    /// How often agents and balancers tell each other their state; news of load is as old as this.
+    /// Interval of the heartbeats between agents and balancers, which is also the greatest age of a load report.
     Millis heartbeat = 1000;
     Millis linkSilence = 2500;
     Millis lease = 15000;
-    /// From a write at the platform to its news at a balancer, at most.
+    /// Longest time from a write at the platform until a balancer receives the change.
     Millis watchDelay = 50;
     std::vector<ServiceSpec> services;
 };
 
-/// What callers do with one service.
+/// The load that callers put on one service.
 struct LoadSpec {
     std::string service;
-    /// Work offered, as a part of what all warm targets together bear.
+    /// Offered load, as a fraction of the capacity of all targets when they are warm.
     double utilisation = 0.5;
-    /// Mean time of a query and of an upload at a warm target.
+    /// Mean time that a warm target needs for a query and for an upload.
     Millis shortWork = 40;
     Millis longWork = 400;
-    /// Part of the requests that is long, and part that must run at most once.
+    /// Fraction of the requests that are long, and fraction that must run at most once.
     double longShare = 0;
     double onceShare = 0;
     Millis deadline = 2000;
-    /// Mean time a flow stays open; 0 means for ever.
+    /// Mean lifetime of a flow; 0 means that flows stay open.
     Millis flowLife = 0;
     /// Time between packets of an idle flow.
     Millis flowInterval = 10000;
-    /// Part of the flows that carry a feed; requests go over the others.
+    /// Fraction of the flows that carry a feed; requests use the other flows.
     double feedShare = 0.5;
-    /// Part of the once-only requests that their caller sends a second time, with the same key, while the first runs.
+    /// Fraction of the once-only requests that their caller sends a second time, with the same key, while the first runs.
     double repeatShare = 0;
-    /// Hosts that the callers run on; the callers of one host share a retry budget.
+    /// Number of hosts on which the callers run; the callers of one host share a retry budget.
     std::size_t callerHosts = 20;
 };
 
@@ -93,9 +93,9 @@
     PacketLoss,
     PacketDuplication,
     PacketReorder,
-    /// Upstreams' answers come crossed: with the content of another request.
+    /// Answers of upstreams arrive with the content of another request.
     CrossedAnswers,
-    /// Packets that name a flow and its owner, but another service's address.
+    /// Packets name a flow and its owner, but the address of another service.
     StrayPackets,
 };
 
@@ -134,13 +134,13 @@
 struct FailureSpec {
     Millis at = 0;
     FailureKind kind = FailureKind::BalancerKill;
-    /// Index of the balancer, target or data centre; targets count through all services in order.
+    /// Index of the balancer, target or data centre. Targets are numbered through all services in order.
     std::size_t target = 0;
-    /// Second index: the target of a link, whose balancer is `target`.
+    /// Second index of a link failure: the target at the agent's end of the link; `target` is the balancer.
     std::size_t peer = 0;
-    /// How long it lasts; 0 means to the end.
+    /// How long the failure lasts; 0 means until the end of the run.
     Millis duration = 0;
-    /// Slowness or load as a factor, a packet fault as a probability.
+    /// A factor for slowness and load, a probability for packet faults.
     double value = 0;
 };
 
@@ -148,7 +148,7 @@
 struct ExperimentSpec {
     std::string name;
     std::uint64_t seed = 1;
-    /// Time before measuring starts, in which flows open and targets warm up.
+    /// Time before measuring starts, in which callers open their flows.
     Millis warmUp = 10000;
     Millis duration = 60000;
     DeploymentSpec deployment;
@@ -157,25 +157,25 @@
     std::vector<PolicyName> policies;
 };
 
-/// Targets of all services together.
+/// Number of targets of all services.
 std::size_t targetCount(const DeploymentSpec& deployment);
 
-/// The data centre a target or balancer stands in, by index: they are dealt round.
+/// The index of the data centre of a target or balancer; they are assigned round-robin.
 std::size_t dataCentreOf(std::size_t index, const DeploymentSpec& deployment);
 
-/// The service of a target and the load put on a service.
+/// The index of the service of a target, and the load on a service.
 std::size_t serviceOf(std::size_t target, const DeploymentSpec& deployment);
 const LoadSpec& loadOf(std::size_t service, const ExperimentSpec& experiment);
 
 /// The stable id of a target.
 UpstreamId targetId(std::size_t target);
 
-/// Names as they stand in histories.
+/// Names of processes in recorded histories.
 std::string targetName(std::size_t target, const DeploymentSpec& deployment);
 std::string agentName(std::size_t target, const DeploymentSpec& deployment);
 std::string balancerName(std::size_t balancer);
 
-/// Mean time of one request at a warm target, in milliseconds.
+/// Mean time that a warm target needs for one request, in milliseconds.
 double meanWork(const LoadSpec& load);
 
 }
--- a/bench/libmodel/experimentfile.cpp
+++ b/bench/libmodel/experimentfile.cpp
@@ -13,14 +13,14 @@
 
     constexpr double anyNumber = std::numeric_limits<double>::max();
 
-    /// The bounds of a numeric field; `required` without a default.
+    /// The bounds of a numeric field; a required field has no default.
     struct NumberRule {
         double least = 0;
         double most = anyNumber;
         bool required = false;
     };
 
-    /// Reads the fields of one JSON object and lists what is missing, wrong or unknown.
+    /// Reads the fields of one JSON object, and records missing, invalid and unknown fields as faults.
     class FieldReader {
     public:
         FieldReader(const Json& object, std::string place, std::vector<Fault>& faults)
@@ -29,7 +29,7 @@
             , m_faults(faults)
         {
             if (!m_object.is_object())
-                fault(FaultKind::WrongType, "", "an object is needed");
+                fault(FaultKind::WrongType, "", "expected an object");
         }
 
         template <typename Number>
@@ -39,12 +39,12 @@
             if (!field)
                 return;
             if (!field->is_number()) {
-                fault(FaultKind::WrongType, name, "a number is needed");
+                fault(FaultKind::WrongType, name, "expected a number");
                 return;
             }
             const double read = field->get<double>();
             if (read < rule.least || read > rule.most) {
-                fault(FaultKind::OutOfRange, name, "not from " + std::to_string(rule.least) + " to " + std::to_string(rule.most));
+                fault(FaultKind::OutOfRange, name, "must be between " + std::to_string(rule.least) + " and " + std::to_string(rule.most));
                 return;
             }
             value = static_cast<Number>(read);
@@ -56,10 +56,10 @@
             if (field && field->is_string())
                 value = field->get<std::string>();
             else if (field)
-                fault(FaultKind::WrongType, name, "a text is needed");
+                fault(FaultKind::WrongType, name, "expected a string");
         }
 
-        /// Calls `read(element, place)` for each element of a list.
+        /// Calls `read(element, place)` for each element of the list.
         template <typename Read>
         void list(const char* name, bool required, Read read)
         {
@@ -67,7 +67,7 @@
             if (!field)
                 return;
             if (!field->is_array()) {
-                fault(FaultKind::WrongType, name, "a list is needed");
+                fault(FaultKind::WrongType, name, "expected a list");
                 return;
             }
             for (std::size_t index = 0; index < field->size(); ++index)
@@ -81,14 +81,14 @@
                 read(*field, placeOf(name));
         }
 
-        /// Lists every field that nobody asked for: a misspelt one would else be passed over in silence.
+        /// Reports every field that was not read, so that a misspelt field isn't ignored silently.
         void finish()
         {
             if (!m_object.is_object())
                 return;
             for (const auto& [name, value] : m_object.items()) {
                 if (!m_known.contains(name))
-                    fault(FaultKind::UnknownField, name, "not a field of this object");
+                    fault(FaultKind::UnknownField, name, "unknown field");
             }
         }
 
@@ -107,7 +107,7 @@
             if (field != m_object.end())
                 return &*field;
             if (required)
-                fault(FaultKind::MissingField, name, "must be given");
+                fault(FaultKind::MissingField, name, "required field is missing");
             return nullptr;
         }
 
@@ -143,7 +143,7 @@
             if (name.is_string())
                 deployment.dataCentres.push_back(name.get<std::string>());
             else
-                faults.push_back({ .kind = FaultKind::WrongType, .place = namePlace, .detail = "a text is needed" });
+                faults.push_back({ .kind = FaultKind::WrongType, .place = namePlace, .detail = "expected a string" });
         });
         reader.number("betweenDataCentresMs", deployment.betweenDataCentres);
         reader.number("withinDataCentreMs", deployment.withinDataCentre);
@@ -190,7 +190,7 @@
         if (const auto known = fromName<FailureKind>(kind))
             failure.kind = *known;
         else
-            reader.fault(FaultKind::OutOfRange, "kind", "not a kind of failure");
+            reader.fault(FaultKind::OutOfRange, "kind", "unknown kind of failure");
         reader.number("target", failure.target);
         reader.number("peer", failure.peer);
         reader.number("durationMs", failure.duration);
@@ -199,7 +199,7 @@
         return failure;
     }
 
-    /// How many things the target of a failure is one of.
+    /// Number of balancers, data centres or targets among which the target of a failure is chosen.
     std::size_t targetLimit(FailureKind kind, const DeploymentSpec& deployment)
     {
         switch (kind) {
@@ -222,9 +222,9 @@
     {
         const DeploymentSpec& deployment = experiment.deployment;
         if (deployment.dataCentres.empty())
-            faults.push_back({ .kind = FaultKind::OutOfRange, .place = "/deployment/dataCentres", .detail = "at least one is needed" });
+            faults.push_back({ .kind = FaultKind::OutOfRange, .place = "/deployment/dataCentres", .detail = "at least one data centre is required" });
         if (deployment.services.empty())
-            faults.push_back({ .kind = FaultKind::OutOfRange, .place = "/deployment/services", .detail = "at least one is needed" });
+            faults.push_back({ .kind = FaultKind::OutOfRange, .place = "/deployment/services", .detail = "at least one service is required" });
         std::set<std::string> names;
         for (std::size_t index = 0; index < deployment.services.size(); ++index) {
             if (!names.insert(deployment.services[index].name).second)
@@ -238,9 +238,9 @@
             const FailureSpec& failure = experiment.failures[index];
             const std::string place = "/failures/" + std::to_string(index);
             if (failure.target >= targetLimit(failure.kind, deployment))
-                faults.push_back({ .kind = FaultKind::OutOfRange, .place = place + "/target", .detail = "no such target" });
+                faults.push_back({ .kind = FaultKind::OutOfRange, .place = place + "/target", .detail = "no target with this index" });
             if (failure.kind == FailureKind::LinkSilent && failure.peer >= targetCount(deployment))
-                faults.push_back({ .kind = FaultKind::OutOfRange, .place = place + "/peer", .detail = "no such target" });
+                faults.push_back({ .kind = FaultKind::OutOfRange, .place = place + "/peer", .detail = "no target with this index" });
         }
     }
 
@@ -251,7 +251,7 @@
     const std::size_t faultsBefore = faults.size();
     const Json root = Json::parse(json, nullptr, false);
     if (root.is_discarded()) {
-        faults.push_back({ .kind = FaultKind::NotJson, .place = "", .detail = "not JSON" });
+        faults.push_back({ .kind = FaultKind::NotJson, .place = "", .detail = "the file is not valid JSON" });
         return std::nullopt;
     }
     ExperimentSpec experiment;
@@ -274,7 +274,7 @@
         if (policy)
             experiment.policies.push_back(*policy);
         else
-            faults.push_back({ .kind = FaultKind::OutOfRange, .place = place, .detail = "not a policy" });
+            faults.push_back({ .kind = FaultKind::OutOfRange, .place = place, .detail = "unknown policy" });
     });
     reader.finish();
     crossCheck(experiment, faults);
--- a/bench/libmodel/experimentfile.h
+++ b/bench/libmodel/experimentfile.h
@@ -9,7 +9,8 @@
 
 namespace kingcuptrail {
 
-/// Reads an experiment file. Nothing when there is any fault; `faults` lists all of them by kind and place.
+/// Parses an experiment file. Returns nothing if there is any fault; all faults are appended to `faults`, each with its kind
+/// and its place in the document.
 std::optional<ExperimentSpec> parseExperiment(std::string_view json, std::vector<Fault>& faults);
 
 }
--- a/bench/libmodel/historyrecorder.h
+++ b/bench/libmodel/historyrecorder.h
@@ -8,8 +8,8 @@
 
 namespace kingcuptrail {
 
-/// Keeps what was seen in one run, in order, for the checker of libhistory. Keeps nothing unless it is switched on: long
-/// runs see millions of events.
+/// Records the events of one run in order, for the checker of libhistory. Records only if enabled, since long runs produce
+/// millions of events.
 class HistoryRecorder {
 public:
     HistoryRecorder(const EventLoop& loop, bool isKept)
@@ -18,7 +18,7 @@
     {
     }
 
-    /// Records the event that `make` yields; `make` is called only when the history is kept.
+    /// Records the event that `make` returns; `make` is called only if recording is enabled.
     template <typename Make>
     void record(Make make)
     {
@@ -36,7 +36,7 @@
     std::vector<HistoryEvent> m_events;
 };
 
-/// A number that two runs share only when they saw the same events in the same order.
+/// A hash over all events in their order; equal for two runs with the same events.
 std::uint64_t fingerprint(const std::vector<HistoryEvent>& events);
 
 }
--- a/bench/libmodel/message.cpp
+++ b/bench/libmodel/message.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-    /// Sizes of encoded frames, prefix included; tests/bench compares them with libprotocol's encoding.
+    /// Sizes of encoded frames with their length prefix; a test in tests/bench compares them with libprotocol's encoding.
     constexpr std::size_t packetBytes = 88;
     constexpr std::size_t heartbeatBytes = 64;
     constexpr std::size_t configBytes = 400;
--- a/bench/libmodel/message.h
+++ b/bench/libmodel/message.h
@@ -14,11 +14,11 @@
 
 using RequestId = std::uint64_t;
 
-/// Names the work of a request across its retries, as the idempotency key does on the wire.
+/// Identifies the work of a request across its retries; corresponds to the idempotency key on the wire.
 using WorkKey = std::uint64_t;
 
-/// What a packet of the modelled flow is for. Each that must arrive is sent again until its acknowledgement comes; the
-/// real flow endpoints do this with sequence numbers.
+/// The kind of a packet of a modelled flow. Packets that must arrive are retransmitted until they are acknowledged; the
+/// real flow endpoints use sequence numbers for this.
 enum class ModelPacketKind : std::uint8_t {
     Open,
     Opened,
@@ -37,14 +37,14 @@
 struct ModelRequest {
     RequestId id = 0;
     WorkKey key = 0;
-    /// Must run at most once.
+    /// The work must run at most once.
     bool once = false;
     bool isLong = false;
-    /// Time the work takes at a warm, unhurried upstream.
+    /// Time that the work takes at a warm upstream without overload.
     Micros work = 0;
-    /// Time left until the caller gives up.
+    /// Remaining time until the caller gives up.
     Millis deadline = 0;
-    /// Owners of earlier attempts whose outcome is not known.
+    /// Owners at which earlier attempts with an unknown outcome were made.
     std::vector<OwnerToken> earlier;
 };
 
@@ -56,26 +56,26 @@
     OwnerToken owner;
     ModelRequest request;
     RefusalVerdict verdict;
-    /// Of an answer: names the work and the request it was made for, as the body's hash does on the wire.
+    /// Set in answers: identifies the work and the request that were answered, as the hash of the body does on the wire.
     std::uint64_t answerHash = 0;
     std::uint8_t hops = 0;
     std::vector<UpstreamId> visited;
     UpstreamId passedOver = 0;
-    /// Of an open: the flow will carry a feed, which must not be cut by a planned change.
+    /// Set in opening packets: the flow will carry a feed, which a planned change must not interrupt.
     bool hasFeed = false;
 };
 
-/// What an agent and a balancer tell each other regularly.
+/// The periodic message between an agent and a balancer.
 struct HeartbeatMessage {
     OwnerToken agent;
     ConfigVersion configVersion = 0;
     double openFlows = 0;
     bool draining = false;
-    /// The first message of a new link.
+    /// Set in the first message of a new link.
     bool isHello = false;
 };
 
-/// The configuration as far as the model has one: which data centres are out.
+/// The modelled configuration: which data centres are taken out of service.
 struct ConfigMessage {
     ConfigVersion version = 0;
     std::vector<bool> dataCentreOut;
@@ -96,16 +96,16 @@
     WorkKey key = 0;
     OwnerToken asker;
     OwnerToken holder;
-    /// LedgerState as a number, as it travels on the wire.
+    /// A LedgerState as the number that is used on the wire.
     std::uint8_t state = 0;
 };
 
 using Message = std::variant<FlowPacket, HeartbeatMessage, ConfigMessage, RedirectMessage, LedgerQueryMessage, LedgerAnswerMessage>;
 
-/// Bytes a message takes on a link, about as the frames of libprotocol do; for the control budget.
+/// Approximate size in bytes of the message as a frame of libprotocol; used to account for control traffic.
 std::size_t encodedBytes(const Message& message);
 
-/// The content of the answer that belongs to a request.
+/// The hash of the correct answer to a request.
 std::uint64_t answerHashOf(const ModelRequest& request);
 
 }
--- a/bench/libmodel/metrics.cpp
+++ b/bench/libmodel/metrics.cpp
@@ -57,7 +57,7 @@
 
 void Metrics::noteConcurrency(std::uint32_t running, double bearable, std::uint32_t slots, bool isAnnounced)
 {
-    // What a growing upstream bears is taken in whole requests.
+    // The number of requests that an upstream can serve while it warms up is rounded down to whole requests.
     const double excess = running - std::floor(bearable);
     if (excess <= 0 || bearable >= slots)
         return;
--- a/bench/libmodel/metrics.h
+++ b/bench/libmodel/metrics.h
@@ -12,17 +12,17 @@
 
 namespace kingcuptrail {
 
-/// Why a caller lost a flow, as the model knows it from the owner's true state.
+/// Why a caller lost a flow, determined from the actual state of the flow's owner.
 enum class BreakCause : std::uint8_t {
-    /// Given up: its data centre was taken out.
+    /// The data centre of its owner was taken out of service.
     DataCentreOut,
-    /// Its agent died, and all it knew with it.
+    /// Its agent terminated and lost its state.
     OwnerDied,
-    /// Its agent stood still for too long.
+    /// Its agent was paused for too long.
     OwnerFrozen,
-    /// Its owner was well, but packets of the flow went to another one.
+    /// Its owner was running, but packets of the flow were delivered to another agent.
     Misdirected,
-    /// Its owner was well, but nothing came through for too long.
+    /// Its owner was running, but no packet arrived for too long.
     Silent,
 };
 
@@ -31,11 +31,11 @@
     static constexpr std::array<std::string_view, 5> names { "dataCentreOut", "ownerDied", "ownerFrozen", "misdirected", "silent" };
 };
 
-/// How a request ended for its caller.
+/// The outcome of a request for its caller.
 enum class RequestEnd : std::uint8_t {
     Answered,
     RefusedNotRun,
-    /// Refused because it had run already.
+    /// Refused because the work had already run.
     RefusedRan,
     Unknown,
 };
@@ -48,53 +48,53 @@
 template <typename Enum>
 using EnumCounts = std::array<std::uint64_t, EnumNames<Enum>::names.size()>;
 
-/// Measured values, kept one by one: a run has few enough.
+/// Measured values. All of them are stored, since a run has few.
 class Samples {
 public:
     void add(double value) { m_values.push_back(value); }
     std::size_t count() const { return m_values.size(); }
     double mean() const;
     double max() const;
-    /// The value below which this part of the samples lies; 0 without samples.
+    /// The value below which this fraction of the samples lies; 0 without samples.
     double percentile(double part) const;
 
 private:
     std::vector<double> m_values;
 };
 
-/// How unevenly something is spread over the targets of a service.
+/// How unevenly flows or work are spread over the targets of a service.
 struct Imbalance {
     double maxOverMean = 0;
     double variation = 0;
 };
 
-/// Both are 0 while there is nothing to spread.
+/// Both members are 0 if the sum of the values is 0.
 Imbalance imbalanceOf(const std::vector<double>& values);
 
-/// What callers got in one second.
+/// What callers received within one second.
 struct SecondOfService {
     std::uint64_t offered = 0;
     std::uint64_t answered = 0;
     std::uint64_t refused = 0;
     std::uint64_t unknown = 0;
     std::uint64_t flowsBroken = 0;
-    /// Answers a second that the targets in service can give.
+    /// Requests that the targets in service can answer per second.
     double capacity = 0;
-    /// Open flows, max over mean, of the worst service.
+    /// Maximum over mean of the open flows per target, for the most unbalanced service.
     double flowImbalance = 0;
 };
 
-/// Everything that is counted in one run.
+/// All counters and samples of one run.
 struct Metrics {
     EnumCounts<BreakCause> broken {};
     EnumCounts<RequestEnd> ended {};
-    /// Requests with an unknown outcome, by the state of the owner that was tried last.
+    /// Requests with an unknown outcome, by the state of the owner of the last attempt.
     EnumCounts<BreakCause> unknownBy {};
     EnumCounts<RefusalReason> refusals {};
     EnumCounts<RetryReason> retryDecisions {};
     std::uint64_t flowsOpened = 0;
     std::uint64_t openTries = 0;
-    /// Idle flows closed by a leaving agent, and opened again elsewhere.
+    /// Idle flows that a draining agent closed and that callers opened at another agent.
     std::uint64_t flowsMoved = 0;
     std::uint64_t duplicateOpens = 0;
     std::uint64_t firstTries = 0;
@@ -107,32 +107,33 @@
     std::uint64_t redirectsUsed = 0;
     std::uint64_t controlBytes = 0;
     std::uint64_t platformCalls = 0;
-    /// Work that started at an upstream above what it bore at that moment, within a warm-up that was announced, and
-    /// the most it was above.
+    /// Work that started at an upstream beyond what it could serve at that time, during a warm-up that the agent was informed
+    /// of, and the greatest excess.
     std::uint64_t coldOverruns = 0;
     double coldExcess = 0;
-    /// The same, after an upstream turned cold without a word.
+    /// The same, after an upstream became cold without the agent being informed.
     std::uint64_t suddenColdOverruns = 0;
-    /// Times an upstream fell over under more than it bore.
+    /// Number of crashes of upstreams under overload.
     std::uint64_t falls = 0;
     Samples answerLatency;
-    /// From sending a try to its refusal as not run.
+    /// Time from sending an attempt until its refusal with the statement that it did not run, in milliseconds.
     Samples refusalLatency;
     Samples flowImbalance;
     Samples flowVariation;
     Samples busyImbalance;
     Samples busyVariation;
-    /// From the return of a target until it holds its share of flows, within a factor of 1.25.
+    /// Time from the return of a target until it holds its share of flows within a factor of 1.25, in milliseconds.
     Samples returnTime;
     std::vector<SecondOfService> seconds;
-    /// Set while the warm-up before measuring lasts; nothing is counted then.
+    /// Set during the warm-up before measuring, in which nothing is counted.
     bool isWarmingUp = true;
     std::unordered_map<std::uint64_t, std::uint32_t> startsOfKey;
 
-    /// Counts work that started at an upstream; `onceKey` is 0 for idempotent work.
+    /// Counts a start of work at an upstream; `onceKey` is 0 for idempotent work.
     void noteStart(std::uint64_t onceKey);
 
-    /// Counts what starts above what an upstream bears while it is cold: a warm one bears its slots.
+    /// Counts a start of work beyond what a cold upstream can serve. A warm upstream, which can serve all its slots, is not
+    /// counted.
     void noteConcurrency(std::uint32_t running, double bearable, std::uint32_t slots, bool isAnnounced);
 
     SecondOfService& second(Millis sinceStart);
--- a/bench/libmodel/modelagent.cpp
+++ b/bench/libmodel/modelagent.cpp
@@ -12,7 +12,7 @@
     constexpr Micros redirectBatchInterval = 50 * microsPerMilli;
     constexpr Micros announceRetry = 1000 * microsPerMilli;
     constexpr std::uint32_t finalSends = 10;
-    /// Flows that say nothing for this many of their intervals are forgotten.
+    /// A flow without packets for this number of its packet intervals is removed.
     constexpr Millis silentIntervals = 4;
 
 }
@@ -105,7 +105,7 @@
     reset();
 }
 
-/// Schedules an action of this process: skipped when it has died, put off while it is frozen.
+/// Schedules an action of this process. The action is skipped if the process has terminated, and delayed while it is frozen.
 void ModelAgent::later(Micros delay, EventLoop::Action action)
 {
     m_context.loop.after(delay, [this, life = m_life, action = std::move(action)] {
@@ -129,7 +129,8 @@
     return dataCentre < m_config.dataCentreOut.size() && m_config.dataCentreOut[dataCentre];
 }
 
-/// Ends the wait for balancers after a return, once; one that links later does not begin it anew.
+/// Ends the wait for the balancers' configuration after a return to service. A balancer that links later doesn't restart
+/// the wait.
 void ModelAgent::lookForReturn()
 {
     std::vector<ConfigVersion> versions;
@@ -139,7 +140,7 @@
         m_returnVersion = 0;
 }
 
-/// A process that stood still knows nothing of its upstream any more.
+/// After a pause of the process its knowledge of the upstream is outdated, so the warm-up starts again.
 void ModelAgent::noteRuns()
 {
     const Millis held = m_pause.holdUntil;
@@ -153,7 +154,7 @@
     const Millis now = m_context.loop.nowMillis();
     noteRuns();
     const auto* heartbeat = std::get_if<HeartbeatMessage>(&message);
-    // What was sent over a link that this agent has given up does not arrive any more.
+    // Messages of a link that this agent has closed are lost.
     if (!m_balancers.contains(from.index) && !(heartbeat && heartbeat->isHello))
         return;
     LinkState& link = m_balancers[from.index];
@@ -243,7 +244,7 @@
 
 void ModelAgent::openFlow(const FlowPacket& packet)
 {
-    // Not announced yet: the caller sends its open again.
+    // Without an incarnation the agent can't own flows yet; the caller retransmits its opening packet.
     if (!m_token.isSet())
         return;
     const Millis now = m_context.loop.nowMillis();
@@ -389,7 +390,8 @@
     m_store.setDraining(m_index, false);
 }
 
-/// What came after the leaving began and still waits is new work; it has reached nothing yet.
+/// Refuses requests that arrived after draining began and still wait. They haven't reached the upstream, so they are
+/// refused as not run.
 void ModelAgent::refuseWaiting()
 {
     for (auto& [id, work] : m_work) {
@@ -405,7 +407,7 @@
 {
     if (!m_isDraining)
         return;
-    // Written again each time: the first write may have met an outage.
+    // Repeated on each tick, since an earlier write may have failed during an outage of the store.
     m_store.setDraining(m_index, true);
     if (m_context.policy.drainGuard && refusesNewWork(m_drain, m_context.policy.drain, m_context.loop.nowMillis()))
         refuseWaiting();
@@ -434,7 +436,7 @@
     const Millis now = m_context.loop.nowMillis();
     const DeploymentSpec& deployment = m_context.experiment.deployment;
     giveUpSilentLinks();
-    // Its health endpoint refuses the connection: whatever answers there next is a new process.
+    // The health endpoint refuses connections, so the next process that answers there is a new one, which starts cold.
     if (!m_upstream.isAlive())
         restartCold(m_admission, now);
     for (const auto& [balancer, link] : m_balancers) {
--- a/bench/libmodel/modelagent.h
+++ b/bench/libmodel/modelagent.h
@@ -18,24 +18,25 @@
 
 namespace kingcuptrail {
 
-/// The process beside one upstream: owns its flows, admits their requests, and runs each once-only key once. Every
-/// decision is libdecision's; this class only moves packets and time to it and its verdicts back.
+/// The modelled agent of one upstream: owns its flows, admits their requests, and runs each once-only key once. All
+/// decisions are made by libdecision; this class passes packets and the time to it and carries out its verdicts.
 class ModelAgent {
 public:
     ModelAgent(ModelContext& context, ModelStore& store, ModelUpstream& upstream, std::size_t index);
 
-    /// Starts the process anew and announces it.
+    /// Starts the process with empty state and announces it.
     void start();
-    /// Starts with an announcement that the store already holds and a warmed-up limit, for a run that begins so.
+    /// Starts with an announcement that the store already holds and a warmed-up limit, for runs that begin in the steady
+    /// state.
     void startSettled(const OwnerToken& token);
     void kill();
 
-    /// Takes no new flow from now on, and exits once `mayExit` and nothing is left.
+    /// Starts draining: accepts no new flows and, if `mayExit`, exits after the last flow has ended.
     void drain(bool mayExit);
-    /// Takes new flows again.
+    /// Stops draining and accepts new flows again.
     void revokeDrain();
 
-    /// The link to a balancer broke with an error.
+    /// Handles the loss of the link to a balancer.
     void loseLink(std::size_t balancer);
 
     const OwnerToken& token() const { return m_token; }
@@ -46,7 +47,7 @@
     ConfigVersion configVersion() const { return m_config.version; }
     /// Called when a drained agent has exited.
     std::function<void()> onExit;
-    /// Called when it gives up a link that was silent for too long.
+    /// Called when the agent closes a link on which nothing was received for too long.
     std::function<void(std::size_t balancer)> onLinkGivenUp;
 
 private:
@@ -54,10 +55,10 @@
         std::size_t service = 0;
         std::size_t caller = 0;
         Millis heardAt = 0;
-        /// When a request on it last ended.
+        /// When the last request on the flow ended.
         Millis idleSince = 0;
         bool hasFeed = false;
-        /// Requests that came on it.
+        /// Requests that were received on the flow.
         std::set<RequestId> seen;
     };
 
@@ -73,7 +74,7 @@
         Ended,
     };
 
-    /// One try of a request, from its arrival until its final answer is acknowledged.
+    /// One attempt of a request, from its arrival until its final answer is acknowledged.
     struct Work {
         FlowId flow = 0;
         ModelRequest request;
@@ -154,9 +155,10 @@
     std::map<FlowId, Flow> m_flows;
     std::map<RequestId, Work> m_work;
     std::map<UpstreamId, RedirectMessage> m_redirectsToSend;
-    /// The linked balancers.
+    /// Balancers with a link to this agent.
     std::map<std::size_t, LinkState> m_balancers;
-    /// The configuration that brought its data centre back, until the balancers have it; 0 otherwise.
+    /// The version of the configuration that returned the data centre to service, until all linked balancers have it; 0
+    /// otherwise.
     ConfigVersion m_returnVersion = 0;
     std::optional<Millis> m_wakeAt;
     DrainProgress m_drain;
--- a/bench/libmodel/modelagentwork.cpp
+++ b/bench/libmodel/modelagentwork.cpp
@@ -9,7 +9,7 @@
 
     constexpr Micros finalResend = 300 * microsPerMilli;
     constexpr std::uint32_t finalSends = 10;
-    /// From a withdrawn request until the upstream has confirmed that it stopped.
+    /// Time from the withdrawal of a request until the upstream has confirmed that it stopped.
     constexpr Micros cancelConfirm = 2 * microsPerMilli;
     constexpr Micros queryTimeout = 500 * microsPerMilli;
 
@@ -34,11 +34,11 @@
 {
     const RequestId id = packet.request.id;
     if (const auto known = m_work.find(id); known != m_work.end()) {
-        // A duplicate: the first copy is being worked on, or its final answer was lost on the way.
+        // A duplicate: the first copy is in progress, or its final answer was lost.
         return known->second.state == WorkState::Ended ? toCaller(known->second.last) : reply(packet, ModelPacketKind::RequestAck);
     }
     reply(packet, ModelPacketKind::RequestAck);
-    // A copy that comes long after, as out of a balancer that stood still. Flow endpoints know it by its sequence.
+    // A late duplicate, for example from a balancer that was paused. Real flow endpoints detect it by its sequence number.
     if (!m_flows[packet.flow].seen.insert(id).second)
         return;
     const Millis now = m_context.loop.nowMillis();
@@ -213,7 +213,7 @@
     refuse(work, { .ran = Ran::No, .reason = RefusalReason::Cancelled }, LedgerState::NotRun);
 }
 
-/// The slot is free only when the upstream has confirmed.
+/// Refuses a running request. Its slot becomes free only when the upstream has confirmed the cancellation.
 void ModelAgent::withdrawRunning(Work& work, WorkOutcome outcome, RefusalReason reason)
 {
     const RequestId id = work.request.id;
@@ -245,7 +245,8 @@
     sendLast(work.request.id);
 }
 
-/// NeverSeen leaves the ledger as it is: the key belongs to another try.
+/// Sends a refusal and settles the key in the ledger. With NeverSeen the ledger is left unchanged, since the key belongs to
+/// another attempt.
 void ModelAgent::refuse(Work& work, const RefusalVerdict& verdict, LedgerState outcome)
 {
     if (work.request.once && outcome != LedgerState::NeverSeen)
@@ -261,7 +262,7 @@
     sendLast(work.request.id);
 }
 
-/// Sends the final answer until it is acknowledged, and forgets the request some time after.
+/// Sends the final answer repeatedly until it is acknowledged or the limit of sends is reached, and then removes the request.
 void ModelAgent::sendLast(RequestId id)
 {
     const auto found = m_work.find(id);
--- a/bench/libmodel/modelbalancer.cpp
+++ b/bench/libmodel/modelbalancer.cpp
@@ -70,7 +70,7 @@
     m_context.history.record([&] { return HistoryEvent { .kind = HistoryKind::ProcessKilled, .process = balancerName(m_index), .role = ProcessRole::Balancer }; });
 }
 
-/// Schedules an action of this process: skipped when it has died, put off while it is frozen.
+/// Schedules an action of this process. The action is skipped if the process has terminated, and delayed while it is frozen.
 void ModelBalancer::later(Micros delay, EventLoop::Action action)
 {
     m_context.loop.after(delay, [this, life = m_life, action = std::move(action)] {
@@ -174,7 +174,8 @@
     }
 }
 
-/// Names the member at which other balancers will look for the flow, when it is placed elsewhere.
+/// Records in the packet the member at which other balancers will look for the flow first, if the flow was placed at another
+/// member.
 void ModelBalancer::noteFirstRanked(FlowPacket& packet, std::size_t chosen) const
 {
     const auto members = serviceMembers(packet.service);
@@ -217,7 +218,7 @@
 void ModelBalancer::receiveHeartbeat(const HeartbeatMessage& heartbeat, std::size_t agent)
 {
     m_members[agent].load = heartbeat.openFlows;
-    // The link tells of a leaving agent also while the platform does not.
+    // The heartbeat reports a draining agent also while the platform is unavailable.
     if (heartbeat.draining && !m_peers[agent].draining && m_context.policy.drainGuard) {
         m_peers[agent].draining = true;
         updateStates();
@@ -257,7 +258,7 @@
         return;
     m_config = config;
     m_context.history.record([&] { return HistoryEvent { .kind = HistoryKind::ConfigInForce, .process = balancerName(m_index), .version = config.version }; });
-    // Agents are told before a data centre taken out is cut off.
+    // Sent before the states change, so that the agents of a data centre that is taken out of service get it first.
     for (std::size_t agent = 0; agent < m_members.size(); ++agent)
         offerConfig(agent);
     updateStates();
@@ -274,7 +275,7 @@
         if (!m_peers[agent].announced || m_members[agent].linked)
             return;
         if (m_context.network.isAlive(peer) && !m_context.network.isFrozen(peer)) {
-            // A new connection works although the last one went silent.
+            // A link failure affects one connection only: the new connection works.
             m_context.network.setSilent(m_index, agent, false);
             setLinked(agent, true);
         } else {
--- a/bench/libmodel/modelbalancer.h
+++ b/bench/libmodel/modelbalancer.h
@@ -10,16 +10,16 @@
 
 namespace kingcuptrail {
 
-/// A balancer with its own view of members and configuration, as old as its news. Keeps nothing per flow.
+/// A modelled balancer with its own, possibly stale view of members and configuration. Keeps no state for each flow.
 class ModelBalancer {
 public:
     ModelBalancer(ModelContext& context, ModelStore& store, std::size_t index);
 
-    /// Starts the process anew, with empty hands.
+    /// Starts the process with empty state.
     void start();
     void kill();
 
-    /// The link to an agent broke with an error, as it does when the agent's process dies.
+    /// Handles the loss of the link to an agent, for example when the agent's process terminates.
     void loseLink(std::size_t agent);
 
     bool isLinked(std::size_t agent) const { return m_members[agent].linked; }
@@ -61,7 +61,7 @@
     ModelContext& m_context;
     ModelStore& m_store;
     std::size_t m_index;
-    /// Targets of all services, in order; those of one service stand together.
+    /// Targets of all services in order; those of one service are contiguous.
     std::vector<Member> m_members;
     std::vector<Peer> m_peers;
     std::vector<std::size_t> m_firstOfService;
--- a/bench/libmodel/modelcallers.cpp
+++ b/bench/libmodel/modelcallers.cpp
@@ -7,11 +7,11 @@
 namespace {
 
     constexpr Micros resendAfter = 200 * microsPerMilli;
-    /// Sends of an unanswered packet before its flow is given up as silent: about 3 s.
+    /// Number of times that an unacknowledged packet is sent before its flow counts as silent: about 3 s.
     constexpr std::uint32_t sendsUntilSilent = 15;
-    /// A caller that could not open a flow waits this long.
+    /// Delay before a caller that could not open a flow tries again.
     constexpr Micros reopenAfter = 500 * microsPerMilli;
-    /// A piece of work that has no flow to go over looks again after this time.
+    /// Interval at which a request without an open flow looks for one.
     constexpr Micros flowWait = 50 * microsPerMilli;
 
     HistoryKind eventKindOf(RequestEnd how)
@@ -59,7 +59,7 @@
 
 void ModelCallers::start()
 {
-    // The last fifth of the warm-up is left for load news to settle.
+    // In the last fifth of the warm-up no flows are opened, so that load reports are current when measuring starts.
     const double openWithin = static_cast<double>(toMicros(m_context.experiment.warmUp)) * 0.8;
     for (std::size_t caller = 0; caller < m_callers.size(); ++caller)
         m_context.loop.after(static_cast<Micros>(m_context.random.uniform() * openWithin), [this, caller] { openFlow(caller); });
@@ -122,7 +122,7 @@
     case ModelPacketKind::Refusal:
         return takeFinal(packet);
     case ModelPacketKind::Reset:
-        // A reset that names another owner than the flow's is for an earlier packet of it.
+        // A reset with another owner than the flow's belongs to an earlier packet of the flow.
         if (isCurrent && (packet.owner == caller.owner || !m_context.policy.ownerTokens))
             loseFlow(packet.caller, packet.verdict.reason, false);
         return;
@@ -161,7 +161,7 @@
     if (caller.flow == packet.flow && caller.isOpen && caller.owner == packet.owner)
         return;
     if (caller.flow != packet.flow || caller.isOpen) {
-        // Two agents opened the flow, or it is long over: the one that is not used is told so.
+        // Two agents opened the flow, or the caller has abandoned it: the agent whose flow isn't used gets a Close.
         if (caller.flow == packet.flow && !m_context.metrics.isWarmingUp)
             ++m_context.metrics.duplicateOpens;
         FlowPacket close = packet;
@@ -275,7 +275,7 @@
     pending.request.once = random.chance(load.onceShare);
     pending.request.isLong = random.chance(load.longShare);
     const auto mean = static_cast<double>(toMicros(pending.request.isLong ? load.longWork : load.shortWork));
-    // Half of each is the same for all, as the upstream's fixed part of the work is.
+    // Half of the mean is fixed, as the upstream's overhead for each request is; the rest is exponential.
     pending.request.work = static_cast<Micros>(mean / 2 + random.exponential(mean / 2));
     pending.firstId = pending.request.id;
     pending.madeAt = m_context.loop.nowMillis();
@@ -286,7 +286,7 @@
     submit(std::move(pending));
 }
 
-/// An impatient end user: the same work once more, as another call with the same key.
+/// Submits the same work again as another call with the same key, as an impatient end user does.
 void ModelCallers::repeat(const Pending& pending)
 {
     Pending repeated = pending;
@@ -386,7 +386,7 @@
     const auto first = m_firstOfTry.find(packet.request.id);
     const bool isPending = first != m_firstOfTry.end();
     const bool isAnswer = packet.kind == ModelPacketKind::Answer;
-    // An answer with another request's content is thrown away; the right one is sent again until acknowledged.
+    // An answer with the content of another request is dropped; the correct one is retransmitted until it is acknowledged.
     if (isPending && isAnswer && m_context.policy.answerGuard && packet.answerHash != answerHashOf(m_pending.at(first->second).request))
         return;
     FlowPacket acknowledge = packet;
@@ -426,7 +426,7 @@
         ++m_context.metrics.retryDecisions[static_cast<std::size_t>(verdict.reason)];
     pending.mayHaveRun = pending.mayHaveRun || result.ran == Ran::Unknown;
     if (!verdict.retry) {
-        // What the last try's refusal says is true of that try; an earlier one may have run.
+        // The last refusal applies to the last attempt only; an earlier attempt may have run.
         if (result.ran == Ran::No && pending.mayHaveRun)
             return end(first, RequestEnd::Unknown, static_cast<std::uint64_t>(result.reason));
         const std::array<RequestEnd, 3> ends { RequestEnd::RefusedNotRun, RequestEnd::RefusedRan, RequestEnd::Unknown };
@@ -449,7 +449,7 @@
     if (found == m_pending.end())
         return;
     const Pending& pending = found->second;
-    if (!pending.isOnTheWay) // Between two tries: the last refusal said that nothing ran, or no try was ever sent.
+    if (!pending.isOnTheWay) // Between two attempts: the last one was refused as not run, or none was sent.
         return end(first, pending.mayHaveRun ? RequestEnd::Unknown : RequestEnd::RefusedNotRun, static_cast<std::uint64_t>(RefusalReason::DeadlinePassed));
     if (m_callers[pending.caller].flow == pending.flow) {
         FlowPacket cancel = packetOf(pending.caller, ModelPacketKind::Cancel);
--- a/bench/libmodel/modelcallers.h
+++ b/bench/libmodel/modelcallers.h
@@ -10,26 +10,26 @@
 
 namespace kingcuptrail {
 
-/// All callers of a run and the fabric in front of the balancers. Each caller holds one flow open and opens another
-/// when it is lost; requests come at a given rate and go over the flow of a caller drawn at random.
+/// All callers of a run, and the fabric that distributes packets over the balancers. Each caller keeps one flow open and
+/// opens a new one when it is lost. Requests arrive at a given rate, each on the flow of a random caller.
 class ModelCallers {
 public:
-    /// Why a flow was lost, by what the model knows of its owner.
+    /// Returns why a flow was lost, from the actual state of its owner.
     using CauseOf = std::function<BreakCause(const OwnerToken& owner, RefusalReason reason)>;
 
     ModelCallers(ModelContext& context, CauseOf causeOf);
 
-    /// Opens all flows within the warm-up and begins to send requests.
+    /// Opens all flows during the warm-up and starts sending requests.
     void start();
 
-    /// Whether the fabric hands packets to a balancer.
+    /// Sets whether the fabric sends packets to a balancer.
     void setReachable(std::size_t balancer, bool reachable);
 
     /// Multiplies the load of all services.
     void setLoadFactor(double factor) { m_loadFactor = factor; }
-    /// The chance that a packet is followed by one that names another service's address.
+    /// Sets the probability that a request packet is preceded by a copy with the address of another service.
     void setStrayShare(double share) { m_strayShare = share; }
-    /// Work begun before now is still followed to its end; no more is begun.
+    /// Stops creating requests; those already made are still completed.
     void stopOffering() { m_isOffering = false; }
 
 private:
@@ -44,7 +44,7 @@
         std::uint64_t generation = 0;
     };
 
-    /// One piece of work until its end, through all its tries.
+    /// A request with all its attempts, until its outcome.
     struct Pending {
         std::size_t caller = 0;
         FlowId flow = 0;
@@ -57,7 +57,7 @@
         std::uint32_t sends = 0;
         bool isAcknowledged = false;
         bool isOnTheWay = false;
-        /// A try ended without its outcome being known.
+        /// An attempt ended with an unknown outcome.
         bool mayHaveRun = false;
     };
 
@@ -91,12 +91,12 @@
     ModelContext& m_context;
     CauseOf m_causeOf;
     std::vector<Caller> m_callers;
-    /// First caller of each service, and the number of all.
+    /// Index of the first caller of each service, followed by the number of callers.
     std::vector<std::size_t> m_firstOfService;
-    /// Work under way by the id of its first try, and the first try of each later one.
+    /// Pending requests by the id of their first attempt, and the id of the first attempt by that of the current one.
     std::map<RequestId, Pending> m_pending;
     std::map<RequestId, RequestId> m_firstOfTry;
-    /// Owners at which each once-only key was tried; every further try names them.
+    /// Owners at which each once-only key was attempted; every further attempt names them.
     std::map<WorkKey, std::vector<OwnerToken>> m_ownersOfKey;
     std::vector<RetryBudget> m_budgets;
     std::vector<bool> m_reachable;
--- a/bench/libmodel/modelcontext.h
+++ b/bench/libmodel/modelcontext.h
@@ -10,7 +10,7 @@
 
 namespace kingcuptrail {
 
-/// What the parts of one run share.
+/// The objects that all parts of one run share.
 struct ModelContext {
     const ExperimentSpec& experiment;
     const PolicyOptions& policy;
@@ -21,7 +21,7 @@
     HistoryRecorder& history;
 };
 
-/// Time since measuring began, in milliseconds; negative during the warm-up.
+/// Time since measuring started, in milliseconds; negative during the warm-up.
 inline Millis sinceStart(const ModelContext& context)
 {
     return context.loop.nowMillis() - context.experiment.warmUp;
--- a/bench/libmodel/modelstore.cpp
+++ b/bench/libmodel/modelstore.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-    /// Time of one call, and between two looks whether the store answers again.
+    /// Duration of one call, and the interval at which delivery to a watcher is retried while the store is down.
     constexpr Micros callTime = 3 * microsPerMilli;
     constexpr Micros retryInterval = 200 * microsPerMilli;
     constexpr double answerLossShare = 0.5;
@@ -119,7 +119,7 @@
     m_context.loop.after(newsDelay(watcher), [this, watcher, generation = m_watchers[watcher].generation, news] { deliver(watcher, generation, news); });
 }
 
-// A slow answer carries the configuration of the time it was made, and may come after a newer one from a peer.
+// The notification holds the configuration of this moment. A slow one may arrive after a newer configuration from a peer.
 void ModelStore::tellConfig(std::size_t watcher)
 {
     ++m_context.metrics.platformCalls;
--- a/bench/libmodel/modelstore.h
+++ b/bench/libmodel/modelstore.h
@@ -8,7 +8,7 @@
 
 namespace kingcuptrail {
 
-/// What the store holds about one target.
+/// The store's record of one target.
 struct TargetRecord {
     OwnerToken token;
     bool announced = false;
@@ -16,17 +16,17 @@
     std::uint64_t renewals = 0;
 };
 
-/// How an operator's conditional write ended.
+/// The result of an operator's conditional write.
 enum class ApplyResult : std::uint8_t {
     Accepted,
     Conflict,
-    /// It may or may not have taken effect.
+    /// The write may or may not have taken effect.
     NoAnswer,
     Unreachable,
 };
 
-/// The platform's object API as far as the model needs it: announcements, leases and one configuration, with outages,
-/// slow watches and answers that are lost after the write took effect.
+/// A model of the platform's object API: announcements, leases and one configuration, with outages, slow watches and
+/// answers that are lost after the write took effect.
 class ModelStore {
 public:
     using OnTargets = std::function<void(const std::vector<TargetRecord>&)>;
@@ -36,19 +36,19 @@
 
     explicit ModelStore(ModelContext& context);
 
-    /// Watches from now on; the present state is told first. A watcher with the same index replaces the last one.
+    /// Adds a watcher, which receives the current state first and then all changes. It replaces a watcher with the same index.
     void watch(std::size_t watcher, OnTargets onTargets, OnConfig onConfig);
 
-    /// Announces a target under the next incarnation; nothing is answered while the store is down.
+    /// Announces a target under the next incarnation. There is no answer while the store is down.
     void announce(std::size_t target, OnAnnounced onAnnounced);
     void setDraining(std::size_t target, bool draining);
     void renew(std::size_t target, const OwnerToken& token);
     void withdraw(std::size_t target);
 
-    /// Takes a data centre out or back, if the configuration still has the version it is based on.
+    /// Takes a data centre out of service or returns it, if the current version of the configuration is `basedOn`.
     void apply(ConfigVersion basedOn, std::size_t dataCentre, bool out, OnApplied onApplied);
 
-    /// Puts everything in place before the run, without an incarnation ever having been given out.
+    /// Sets the initial records of all targets before the run.
     void seed(std::vector<TargetRecord> targets);
 
     const ConfigMessage& config() const { return m_config; }
@@ -57,7 +57,7 @@
 
     void setUp(bool up) { m_isUp = up; }
     void setLosesAnswers(bool loses) { m_losesAnswers = loses; }
-    /// Makes one watcher's news late, by this factor.
+    /// Multiplies the watch delay of one watcher.
     void setSlowness(std::size_t watcher, double factor);
 
 private:
--- a/bench/libmodel/modelupstream.cpp
+++ b/bench/libmodel/modelupstream.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-    /// How long a shed or refused call takes to be answered costs nothing here; work does.
+    /// Minimum duration of a request in microseconds. Shed and refused requests take no time.
     constexpr Micros shortestWork = 100;
 
 }
@@ -52,7 +52,7 @@
     if (m_options.fallOverFactor <= 0 || running() <= bearable() * m_options.fallOverFactor)
         return;
     ++m_falls;
-    // Its clients see it after this call has returned.
+    // Clients are notified of the crash only after this call has returned.
     m_loop.after(0, [this] { kill(); });
     m_loop.after(toMicros(m_options.restartAfter), [this] {
         if (!m_alive)
--- a/bench/libmodel/modelupstream.h
+++ b/bench/libmodel/modelupstream.h
@@ -8,46 +8,47 @@
 
 namespace kingcuptrail {
 
-/// What became of a request handed to an upstream.
+/// The result of starting a request at an upstream.
 enum class UpstreamStart : std::uint8_t {
     Started,
     Shed,
     Unreachable,
 };
 
-/// How a modelled upstream behaves.
+/// The behaviour of a modelled upstream.
 struct ModelUpstreamOptions {
     std::uint32_t slots = 1;
-    /// Time from a cold start until all slots are borne, in milliseconds.
+    /// Time from a cold start until the upstream can serve all its slots, in milliseconds.
     Millis coldFor = 4000;
-    /// Requests beyond the slots that it still takes; more are shed.
+    /// Number of requests beyond the slots that it still accepts; further ones are shed.
     std::uint32_t acceptBeyondSlots = 8;
-    /// It dies, and starts again after a while, when it works on more than this many times what it bears; 0: never.
+    /// The upstream crashes, and restarts later, when it processes more than this factor times what it can serve; 0: never.
     double fallOverFactor = 0;
     Millis restartAfter = 2000;
 };
 
-/// An upstream that bears one request when cold and all its slots when warm. Above what it bears, everything running
-/// gets slower in proportion, as a process does whose caches are empty or whose cores are all taken.
+/// An upstream that can serve one request at a time when cold and all its slots when warm. Beyond that, requests are slowed
+/// down in proportion, as in a process with empty caches or without idle cores.
 class ModelUpstream {
 public:
-    /// Called once for each request that started: with true when it ran to its end, false when the process died.
+    /// Called once for each started request that isn't cancelled: with true if it completed, with false if the process
+    /// terminated.
     using OnDone = std::function<void(bool isWhole)>;
 
     ModelUpstream(EventLoop& loop, const ModelUpstreamOptions& options);
 
     UpstreamStart start(RequestId request, Micros work, OnDone onDone);
 
-    /// Stops a request: its slot is free and `onDone` is not called any more. False when it does not run.
+    /// Cancels a request: its slot becomes free and its `onDone` isn't called. Returns false if the request isn't running.
     bool cancel(RequestId request);
 
     void kill();
-    /// Runs again, cold.
+    /// Starts the process again, cold.
     void restart();
     void turnCold();
-    /// Whether the last cold start was one that everybody was told of.
+    /// Whether the last cold start was a restart of the process, which the agent can observe.
     bool isColdAnnounced() const { return m_isColdAnnounced; }
-    /// Starts warm, for a run that begins in the steady state.
+    /// Makes the upstream warm, for runs that begin in the steady state.
     void startWarm();
     void setSlowness(double factor) { m_slowness = factor; }
     void setShedding(bool shedding) { m_shedding = shedding; }
@@ -55,7 +56,7 @@
     bool isAlive() const { return m_alive; }
     std::uint32_t running() const { return static_cast<std::uint32_t>(m_running.size()); }
     std::uint32_t falls() const { return m_falls; }
-    /// Requests it can work on at once now.
+    /// Number of requests that it can serve concurrently at the current time.
     double bearable() const;
 
 private:
--- a/bench/libmodel/network.cpp
+++ b/bench/libmodel/network.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-    /// The random part of each delay, and the one a reordered packet takes on top, in milliseconds.
+    /// Upper bounds of the random part of each delay and of the additional delay of a reordered packet, in milliseconds.
     constexpr double jitter = 0.1;
     constexpr double reorderDelay = 20;
 
--- a/bench/libmodel/network.h
+++ b/bench/libmodel/network.h
@@ -20,7 +20,7 @@
     Agent,
 };
 
-/// One process of the model. All callers together are one.
+/// A process of the model. All callers together are one endpoint.
 struct Endpoint {
     EndpointKind kind = EndpointKind::Callers;
     std::size_t index = 0;
@@ -29,17 +29,17 @@
     bool operator<(const Endpoint& other) const { return std::tie(kind, index) < std::tie(other.kind, other.index); }
 };
 
-/// Faults put on every packet of a flow, as probabilities. Other messages travel on a TCP link, which mends them.
+/// Probabilities of faults, applied to every packet of a flow. Other messages use a TCP link, which recovers from them.
 struct PacketFaults {
     double loss = 0;
     double duplication = 0;
     double reorder = 0;
-    /// Of an answer, to be preceded by one with another request's content.
+    /// Probability that an answer is preceded by one with the content of another request.
     double crossedAnswers = 0;
 };
 
-/// Carries messages between the processes with their paths' delays, and holds what can go wrong on the way: dead and
-/// frozen processes, links that swallow everything, and faults of single packets.
+/// Delivers messages between the processes with the delay of their path, and models failures: terminated and frozen
+/// processes, links that drop all messages, and faults of single packets.
 class Network {
 public:
     using Receiver = std::function<void(Endpoint from, Message message)>;
@@ -50,15 +50,15 @@
 
     void send(Endpoint from, Endpoint to, Message message);
 
-    /// A dead process gets nothing; one that was started again gets nothing that was sent before.
+    /// A terminated process receives nothing. After a restart it receives nothing that was sent before.
     void setAlive(Endpoint endpoint, bool alive);
     bool isAlive(Endpoint endpoint) const;
 
-    /// A frozen process finds what arrived in the meantime when it goes on.
+    /// A frozen process receives the messages that arrived in the meantime when it continues.
     void setFrozen(Endpoint endpoint, bool frozen);
     bool isFrozen(Endpoint endpoint) const;
 
-    /// A silent link swallows every message of its present connection, in both directions.
+    /// A silent link drops every message of its current connection, in both directions.
     void setSilent(std::size_t balancer, std::size_t agent, bool silent);
     bool isSilent(std::size_t balancer, std::size_t agent) const;
 
@@ -66,7 +66,7 @@
 
     double crossedAnswers() const { return m_faults.crossedAnswers; }
 
-    /// One way, without the random part.
+    /// The one-way delay without its random part.
     Micros delay(Endpoint from, Endpoint to) const;
 
 private:
--- a/bench/libmodel/policy.h
+++ b/bench/libmodel/policy.h
@@ -14,17 +14,17 @@
 
 namespace kingcuptrail {
 
-/// The policies an experiment compares in one run.
+/// The policies that an experiment compares.
 enum class PolicyName : std::uint8_t {
     /// Baseline: flow id modulo the members, no owner tokens, no redirects.
     Modulo,
-    /// Baseline: first-ranked member only, no redirects.
+    /// Baseline: only the first-ranked member, no redirects.
     Ranking,
-    /// Baseline: the slots as the limit, no warm-up.
+    /// Baseline: the number of slots as the limit, no warm-up.
     FixedLimit,
-    /// Full, and agents tell the first-ranked one of the flows that they open.
+    /// Full, with agents that send redirects for the flows that they open to the first-ranked agent.
     Redirects,
-    /// Everything that the daemons do.
+    /// The behaviour of the daemons.
     Full,
 };
 
@@ -33,7 +33,7 @@
     static constexpr std::array<std::string_view, 5> names { "modulo", "ranking", "fixed-limit", "redirects", "full" };
 };
 
-/// A guard that a run can be made without, to show that the history checker sees what it prevents.
+/// A guard that can be disabled in a run, to show that the history checker detects the violations that it prevents.
 enum class GuardOff : std::uint8_t {
     None,
     OwnerTokens,
@@ -75,7 +75,7 @@
     };
 };
 
-/// What the modelled processes do, as options of the decisions and switches of the wiring around them.
+/// The behaviour of the modelled processes: options of libdecision and switches of the code around it.
 struct PolicyOptions {
     bool ownerTokens = true;
     RedirectOptions redirects;
@@ -88,21 +88,23 @@
     ClosedFlowOptions closedFlows;
     PauseOptions pause;
     DrainOptions drain;
-    /// Test only: off, an agent in a data centre taken out goes on, and balancers go on sending to it.
+    /// For tests only: if false, agents in a data centre that was taken out of service continue, and balancers continue to use
+    /// them.
     bool dataCentreGuard = true;
-    /// Test only: off, callers take any answer that comes on their flow.
+    /// For tests only: if false, callers accept any answer that arrives on their flow.
     bool answerGuard = true;
-    /// Test only: off, work lost at the upstream is refused as not run.
+    /// For tests only: if false, work that was lost at the upstream is refused as not run.
     bool refusalGuard = true;
-    /// Test only: off, a leaving upstream is treated as serving.
+    /// For tests only: if false, a draining upstream is treated as serving.
     bool drainGuard = true;
-    /// Test only: off, a leaving agent stops without waiting for its flows.
+    /// For tests only: if false, a draining agent exits without waiting for its flows.
     bool drainWaitGuard = true;
 };
 
+/// The options of a policy.
 PolicyOptions policyOptions(PolicyName name);
 
-/// Everything but one guard.
+/// The full behaviour with one guard disabled.
 PolicyOptions withoutGuard(GuardOff guard);
 
 }
--- a/bench/libmodel/randomsource.cpp
+++ b/bench/libmodel/randomsource.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    /// 2^-53: the distance between two doubles drawn from the top 53 bits.
+    /// 2^-53: the distance between two doubles that are made from the top 53 bits.
     constexpr double unit = 1.0 / 9007199254740992.0;
     constexpr unsigned discardedBits = 11;
 
--- a/bench/libmodel/randomsource.h
+++ b/bench/libmodel/randomsource.h
@@ -6,23 +6,23 @@
 
 namespace kingcuptrail {
 
-/// Random numbers of one run, all drawn from its seed.
+/// The random numbers of one run, which depend on its seed alone.
 class RandomSource {
 public:
     explicit RandomSource(std::uint64_t seed);
 
-    /// Any 64 bits but 0, as an id.
+    /// A random 64-bit id that isn't 0.
     std::uint64_t id();
 
-    /// A whole number from 0 to below `count`, which must not be 0.
+    /// A random integer in [0, count); `count` must not be 0.
     std::size_t below(std::size_t count);
 
-    /// A number from 0 to below 1.
+    /// A random number in [0, 1).
     double uniform();
 
     bool chance(double probability) { return uniform() < probability; }
 
-    /// The wait until the next event of a Poisson process with this mean wait.
+    /// The time until the next event of a Poisson process with this mean interval.
     double exponential(double mean);
 
 private:
--- a/bench/libmodel/seededhistory.cpp
+++ b/bench/libmodel/seededhistory.cpp
@@ -10,11 +10,11 @@
 namespace {
 
     constexpr Millis duration = 16000;
-    /// The last failure ends this long before the end, so that what must show within seconds can show.
+    /// Failures end about this long before the end of the run, so that effects with a bound of several seconds can be observed.
     constexpr Millis quietEnd = 6000;
-    /// Below the drawn deployments' link silence.
+    /// Less than the link silence of the generated deployments.
     constexpr Millis longestGap = 500;
-    /// An upstream restarts, and a data centre goes out and comes back, in no less than this.
+    /// Minimum duration of a failure: the shortest time in which an upstream restarts or a data centre is taken out and returned.
     constexpr Millis shortestFailure = 300;
     constexpr std::size_t fewestFailures = 3;
     constexpr std::size_t moreFailures = 8;
@@ -72,7 +72,7 @@
     std::size_t drawTarget(FailureKind kind, const DeploymentSpec& deployment, RandomSource& random)
     {
         switch (kind) {
-        // The first balancer is never touched: with none left there is nothing to promise.
+        // The first balancer never fails, since nothing is guaranteed without any balancer.
         case FailureKind::BalancerKill:
         case FailureKind::BalancerFreeze:
         case FailureKind::LinkSilent:
@@ -111,7 +111,7 @@
         failure.target = drawTarget(kind, deployment, random);
         failure.peer = random.below(targetCount(deployment));
         const bool isForGood = kind == FailureKind::Drain || kind == FailureKind::Restart;
-        // The loser of a race tries again after half a second.
+        // The operator whose write conflicts tries again after half a second.
         const Millis shortest = kind == FailureKind::OperatorRace ? 5 * shortestFailure : shortestFailure;
         const auto longest = static_cast<std::size_t>(duration - quietEnd - failure.at);
         failure.duration = isForGood ? 0 : shortest + static_cast<Millis>(random.below(longest));
@@ -130,7 +130,7 @@
     const std::size_t failures = fewestFailures + random.below(moreFailures);
     for (std::size_t failure = 0; failure < failures; ++failure)
         experiment.failures.push_back(drawFailure(drawnKinds[random.below(drawnKinds.size())], experiment.deployment, random));
-    // Always some: answers that come crossed and packets that name another service's address.
+    // Every history has answers with the content of another request and packets with the address of another service.
     experiment.failures.push_back({ .kind = FailureKind::CrossedAnswers, .value = 0.05 });
     experiment.failures.push_back({ .kind = FailureKind::StrayPackets, .value = 0.05 });
     return experiment;
--- a/bench/libmodel/seededhistory.h
+++ b/bench/libmodel/seededhistory.h
@@ -5,7 +5,7 @@
 
 namespace kingcuptrail {
 
-/// A small deployment with many callers, and failures that overlap, all drawn from the seed.
+/// Generates an experiment from a seed: a small deployment with many callers and overlapping failures.
 ExperimentSpec drawExperiment(std::uint64_t seed);
 
 struct SeededHistory {
@@ -13,7 +13,7 @@
     std::vector<HistoryEvent> events;
 };
 
-/// Runs the history of a seed and checks it against every promise; `guard` is left out of the decisions.
+/// Runs the experiment of a seed with `guard` disabled, and checks the recorded history against every promise.
 SeededHistory runSeededHistory(std::uint64_t seed, GuardOff guard = GuardOff::None);
 
 }
--- a/bench/libmodel/simulation.cpp
+++ b/bench/libmodel/simulation.cpp
@@ -9,7 +9,7 @@
 
     constexpr Micros busySampleInterval = 100 * microsPerMilli;
     constexpr Micros second = 1000 * microsPerMilli;
-    /// A returned target has come back when it holds its share of flows within this factor.
+    /// The return of a target is complete when it holds its share of flows within this factor.
     constexpr double returnFactor = 1.25;
     constexpr double millisPerSecond = 1000;
 
@@ -46,7 +46,7 @@
     m_busySamples.resize(targets);
 }
 
-/// Begins with all targets announced and warm.
+/// Sets up the initial state: all targets announced and warm, all balancers started.
 void Simulation::settle()
 {
     std::vector<TargetRecord> records;
@@ -76,7 +76,7 @@
     const Micros measured = toMicros(m_experiment.warmUp + m_experiment.duration);
     m_loop.runUntil(measured);
     m_callers->stopOffering();
-    // What was offered last still has its deadline to end in.
+    // Runs on until the deadlines of the last requests have passed.
     m_loop.runUntil(measured + 5 * second);
     for (const auto& upstream : m_upstreams)
         m_metrics.falls += upstream->falls();
--- a/bench/libmodel/simulation.h
+++ b/bench/libmodel/simulation.h
@@ -13,11 +13,11 @@
 
 namespace kingcuptrail {
 
-/// One run of an experiment under one policy: builds the processes, brings the failure plan about, and samples what is
-/// measured over time.
+/// One run of an experiment under one policy: creates the processes, carries out the failure plan, and samples the
+/// measured quantities over time.
 class Simulation {
 public:
-    /// `keepHistory` records every event for the checker.
+    /// If `keepHistory`, every event is recorded for the checker.
     Simulation(const ExperimentSpec& experiment, const PolicyOptions& policy, bool keepHistory = false);
 
     void run();
@@ -27,10 +27,10 @@
     std::uint64_t eventsExecuted() const { return m_loop.executed(); }
 
 private:
-    /// From a process's death until its peers' connections break.
+    /// Time from the end of a process until its peers' connections are reset.
     static constexpr Micros resetArrives = 2 * microsPerMilli;
 
-    /// A target that came back, until it holds its share of flows.
+    /// A target that returned to service and doesn't hold its share of flows yet.
     struct ReturnWatch {
         std::size_t target = 0;
         Millis since = 0;
@@ -82,7 +82,7 @@
     std::vector<std::unique_ptr<ModelAgent>> m_agents;
     std::vector<std::unique_ptr<ModelBalancer>> m_balancers;
     std::unique_ptr<ModelCallers> m_callers;
-    /// Busy slots of each target, summed over the samples in which it was in service, and their number.
+    /// For each target, the sum of its busy slots over the samples in which it was in service, and the number of these samples.
     std::vector<double> m_busySum;
     std::vector<std::uint64_t> m_busySamples;
     std::vector<ReturnWatch> m_returns;
--- a/bench/libmodel/simulationfailures.cpp
+++ b/bench/libmodel/simulationfailures.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-    /// How long the fabric goes on handing packets to a balancer that died, and to one that stands still.
+    /// Time for which the fabric continues to send packets to a balancer that terminated, and to one that is frozen.
     constexpr Micros fabricSeesDeath = 20 * microsPerMilli;
     constexpr Micros fabricSeesSilence = 1000 * microsPerMilli;
     constexpr Micros operatorRetry = 500 * microsPerMilli;
@@ -103,7 +103,7 @@
     case FailureKind::Restart:
         return drain(failure.target, true);
     case FailureKind::OperatorRace: {
-        // Two operators read the same version, and each wants another data centre out; one of them loses.
+        // Two operators read the same version and take different data centres out of service; the second write conflicts.
         const ConfigVersion seen = m_store.config().version;
         applyNow(seen, failure.target, true);
         return applyNow(seen, (failure.target + 1) % m_experiment.deployment.dataCentres.size(), true);
@@ -270,7 +270,8 @@
         applyNow(m_store.config().version, dataCentre, out);
 }
 
-/// Applies like the operators' tool does: reads back after a lost answer, and bases itself on what it lost to.
+/// Applies a change as the operators' tool does: after a lost answer or a conflict it reads the current configuration and
+/// tries again on that basis.
 void Simulation::applyNow(ConfigVersion basedOn, std::size_t dataCentre, bool out)
 {
     m_store.apply(basedOn, dataCentre, out, [this, dataCentre, out](ApplyResult result) {
@@ -283,7 +284,7 @@
         if (result != ApplyResult::Accepted)
             m_loop.after(operatorRetry, [this, dataCentre, out] { applyOperator(dataCentre, out); });
     });
-    // Hosts of a data centre that is out are replaced or rebooted meanwhile: their upstreams come back cold.
+    // Hosts of a data centre that is out of service are replaced or rebooted meanwhile, so their upstreams return cold.
     if (!out) {
         for (std::size_t target = 0; target < m_agents.size(); ++target) {
             const bool isHere = dataCentreOf(target, m_experiment.deployment) == dataCentre;
