--- a/bench/benchmarks/allocations.h
+++ b/bench/benchmarks/allocations.h
@@ -5,10 +5,10 @@
 
 namespace kingcuptrail {
 
-/// Calls of operator new so far in this process.
+/// Number of calls of operator new in this process so far.
 std::uint64_t allocationCount();
 
-/// Bytes held by operator new now, as the allocator rounds them.
+/// Bytes currently allocated through operator new, including the allocator's rounding.
 std::size_t allocatedBytes();
 
 }
--- a/bench/benchmarks/benchagent.cpp
+++ b/bench/benchmarks/benchagent.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// An agent's life of a flow as far as the decisions go: it is opened, four packets are decided, and it ends.
+/// The decisions of an agent for one flow: it is opened, receives four packets and is closed.
 void openPacketsClose(benchmark::State& state)
 {
     RandomSource random(1);
@@ -41,7 +41,7 @@
 }
 BENCHMARK(openPacketsClose)->Arg(2000)->Arg(20000);
 
-/// A request's admission and end at an upstream with free slots.
+/// Admits and finishes one request at an upstream with free slots.
 void admitAndFinish(benchmark::State& state)
 {
     AdmissionState admission;
@@ -56,7 +56,7 @@
 }
 BENCHMARK(admitAndFinish);
 
-/// One once-only key, begun and settled, beside the given number of settled ones.
+/// Begins and settles one once-only key in a ledger that holds the given number of settled keys.
 void beginAndSettle(benchmark::State& state)
 {
     const auto held = static_cast<std::size_t>(state.range(0));
@@ -78,7 +78,7 @@
 }
 BENCHMARK(beginAndSettle)->Arg(10000)->Arg(100000);
 
-/// Bytes that `fill` takes, divided over `count` entries.
+/// Bytes that `fill` allocates for each of `count` entries.
 template <typename Fill>
 double bytesPerEntry(std::size_t count, Fill fill)
 {
@@ -88,7 +88,7 @@
     return static_cast<double>(allocatedBytes() - before) / static_cast<double>(count);
 }
 
-/// Memory of the tables that grow with flows or keys; the time is that of filling them.
+/// Memory for each entry of the tables that grow with flows or keys. The measured time is that of filling them.
 void memoryOfTables(benchmark::State& state)
 {
     constexpr std::size_t count = 10000;
--- a/bench/benchmarks/benchbalancer.cpp
+++ b/bench/benchmarks/benchbalancer.cpp
@@ -30,7 +30,7 @@
     return flows;
 }
 
-/// Runs `decide` over a set of flows and reports the allocations of each decision.
+/// Calls `decide` for a set of flows and reports the allocations of each call.
 template <typename Decide>
 void measure(benchmark::State& state, Decide decide)
 {
@@ -42,7 +42,7 @@
     state.counters["allocations"] = benchmark::Counter(static_cast<double>(allocationCount() - before), benchmark::Counter::kAvgIterations);
 }
 
-/// The decision on a packet that carries its owner's token: all but a flow's first packets.
+/// Routes a packet that carries the token of its owner, as all packets of a flow but the first ones do.
 void routeByTokenOfMembers(benchmark::State& state)
 {
     const auto members = makeMembers(static_cast<std::size_t>(state.range(0)));
@@ -53,7 +53,7 @@
 }
 BENCHMARK(routeByTokenOfMembers)->Arg(3)->Arg(7)->Arg(20)->Arg(80)->Arg(300)->Arg(4500);
 
-/// The decision on an open: placing among the members of one service.
+/// Routes an opening packet: chooses among the members of one service.
 void routeOpenAmongMembers(benchmark::State& state)
 {
     const auto members = makeMembers(static_cast<std::size_t>(state.range(0)));
@@ -63,7 +63,7 @@
 }
 BENCHMARK(routeOpenAmongMembers)->Arg(3)->Arg(7)->Arg(20)->Arg(80)->Arg(300);
 
-/// The next step of a packet that is walked down the ranking.
+/// Finds the next member for a packet that is forwarded down the ranking.
 void nextInRankingOfMembers(benchmark::State& state)
 {
     const auto members = makeMembers(static_cast<std::size_t>(state.range(0)));
@@ -72,7 +72,7 @@
 }
 BENCHMARK(nextInRankingOfMembers)->Arg(3)->Arg(7)->Arg(20)->Arg(80)->Arg(300);
 
-/// What a change of members costs a balancer.
+/// Rebuilds a balancer's index after a change of members.
 void rebuildMemberIndex(benchmark::State& state)
 {
     const auto members = makeMembers(static_cast<std::size_t>(state.range(0)));
--- a/bench/benchmarks/benchprotocol.cpp
+++ b/bench/benchmarks/benchprotocol.cpp
@@ -39,7 +39,7 @@
 }
 BENCHMARK(decodePacket)->Arg(0)->Arg(1024)->Arg(16384);
 
-/// One segment from endpoint to endpoint, acknowledged.
+/// Sends one segment between two endpoints and acknowledges it.
 void sendAndReceive(benchmark::State& state)
 {
     FlowEndpoint sender;
--- a/bench/check/main.cpp
+++ b/bench/check/main.cpp
@@ -5,9 +5,9 @@
 #include <absl/flags/usage.h>
 #include <iostream>
 
-ABSL_FLAG(std::int64_t, settle_ms, 3000, "when a change of membership must show everywhere");
-ABSL_FLAG(std::int64_t, config_ms, 5000, "when an accepted configuration must be in force everywhere");
-ABSL_FLAG(std::int64_t, cold_detect_ms, 1000, "how long an unannounced cold start may go unnoticed");
+ABSL_FLAG(std::int64_t, settle_ms, 3000, "time in milliseconds within which a change of membership must be visible to all processes");
+ABSL_FLAG(std::int64_t, config_ms, 5000, "time in milliseconds within which an accepted configuration must be in force in all processes");
+ABSL_FLAG(std::int64_t, cold_detect_ms, 1000, "time in milliseconds within which an unannounced cold start must be detected");
 
 using namespace kingcuptrail;
 
@@ -28,8 +28,8 @@
 int main(int argc, char** argv)
 {
     absl::SetProgramUsageMessage("Checks history files against the ten promises: kingcuptrail-check FILE...\n"
-                                 "Prints each violation with its events, then a summary in JSON. Exit code 1: a promise was broken; "
-                                 "2: a file cannot be read.");
+                                 "Prints each violation with its events, then a summary in JSON. Exit codes: 1 if a promise was broken, "
+                                 "2 if a file cannot be read.");
     const auto arguments = absl::ParseCommandLine(argc, argv);
     HistoryFault fault;
     const auto events = readHistory({ arguments.begin() + 1, arguments.end() }, fault);
--- a/bench/kingcuptrail-bench/admissionreport.cpp
+++ b/bench/kingcuptrail-bench/admissionreport.cpp
@@ -11,7 +11,7 @@
 
     constexpr int stepsOfLoad = 12;
     constexpr double loadStep = 0.25;
-    /// Long enough for a standing queue to show, in milliseconds.
+    /// Long enough for a standing queue to build up, in milliseconds.
     constexpr Millis duration = 8000;
 
     double partOf(std::uint32_t count, std::uint32_t asked)
@@ -19,7 +19,7 @@
         return asked > 0 ? static_cast<double>(count) / asked : 0;
     }
 
-    /// Of what can be done, in hundredths.
+    /// The answered requests as a percentage of capacity.
     double percentDone(std::uint32_t count, const AdmissionRow& row)
     {
         return 100 * row.load * partOf(count, row.outcome.asked);
@@ -70,7 +70,7 @@
 
 std::string toPlot(const std::vector<AdmissionRow>& rows)
 {
-    SvgPlot plot { .title = "Answers under overload", .xLabel = "asked for, in quarters of what can be done", .yLabel = "hundredths of what can be done", .lines = {} };
+    SvgPlot plot { .title = "Answers under overload", .xLabel = "offered load, in quarters of capacity", .yLabel = "answers, percent of capacity", .lines = {} };
     for (const AdmissionOrder order : { AdmissionOrder::Arrival, AdmissionOrder::NewestFirst, AdmissionOrder::LateInIdleSlots })
         addLines(plot, rows, order);
     return renderSvg(plot);
--- a/bench/kingcuptrail-bench/admissionreport.h
+++ b/bench/kingcuptrail-bench/admissionreport.h
@@ -7,22 +7,22 @@
 
 namespace kingcuptrail {
 
-/// What became of the callers of one load under one order of admission.
+/// The outcome for one load under one order of admission.
 struct AdmissionRow {
     AdmissionOrder order = AdmissionOrder::Arrival;
-    /// Work that was asked for, in parts of what can be done.
+    /// Offered load, as a fraction of capacity.
     double load = 0;
     AdmissionOutcome outcome;
 };
 
-/// Runs the model of callers under overload for each order of admission, over loads from none to three times what can be
-/// done, in steps of a quarter. Every order meets the same callers.
+/// Runs the admission model for each order of admission, with loads from none to three times the capacity in steps of a
+/// quarter. Every order gets the same sequence of callers.
 std::vector<AdmissionRow> runAdmissionLoads(std::uint64_t seed);
 
-/// A line for each load and order: parts of what was asked that were answered in time, late and never.
+/// A table with a line for each load and order: the fractions of requests that were answered in time, late and never.
 std::string toTable(const std::vector<AdmissionRow>&);
 
-/// Answers in time and late ones over the load, as an SVG document. Both in hundredths of what can be done.
+/// A plot of timely and late answers over the load as an SVG document, both as a percentage of capacity.
 std::string toPlot(const std::vector<AdmissionRow>&);
 
 }
--- a/bench/kingcuptrail-bench/main.cpp
+++ b/bench/kingcuptrail-bench/main.cpp
@@ -14,11 +14,11 @@
 
 ABSL_FLAG(std::string, json, "", "write the results as JSON to this file");
 ABSL_FLAG(std::string, svg, "", "write a plot of the requests answered in each second to this file");
-ABSL_FLAG(std::uint64_t, seed, 0, "use this seed in place of the experiment's; 0 keeps it. The first seed of histories");
-ABSL_FLAG(std::uint64_t, histories, 0, "run this many seeded histories and check them, in place of an experiment");
-ABSL_FLAG(std::string, without, "none", "run histories without this guard, to see that the checker finds what it prevents");
-ABSL_FLAG(bool, admission, false, "run the model of callers under overload, in place of an experiment");
-ABSL_FLAG(bool, verbose, false, "print the events that show each broken promise");
+ABSL_FLAG(std::uint64_t, seed, 0, "use this seed instead of the experiment's; 0 keeps the experiment's seed. With --histories: the first seed");
+ABSL_FLAG(std::uint64_t, histories, 0, "run and check this many seeded histories instead of an experiment");
+ABSL_FLAG(std::string, without, "none", "disable this guard in the histories, to show that the checker detects the violations that it prevents");
+ABSL_FLAG(bool, admission, false, "run the model of admission under overload instead of an experiment");
+ABSL_FLAG(bool, verbose, false, "print the events of each broken promise");
 
 namespace kingcuptrail {
 
@@ -97,7 +97,7 @@
     {
         const auto text = readFile(fileName);
         if (!text) {
-            std::cerr << "cannot read " << fileName << '\n';
+            std::cerr << "cannot read the experiment file " << fileName << '\n';
             return ExitCode::CannotRead;
         }
         std::vector<Fault> faults;
@@ -121,7 +121,7 @@
 
 int main(int argc, char** argv)
 {
-    absl::SetProgramUsageMessage("Runs an experiment over a model of a deployment, in virtual time.\n"
+    absl::SetProgramUsageMessage("Runs an experiment on a model of a deployment in virtual time.\n"
                                  "  kingcuptrail-bench [--seed=S] [--json=FILE] [--svg=FILE] EXPERIMENT.json\n"
                                  "  kingcuptrail-bench --histories=N [--seed=S] [--without=GUARD] [--verbose]\n"
                                  "  kingcuptrail-bench --admission [--seed=S] [--svg=FILE]");
--- a/bench/kingcuptrail-bench/report.cpp
+++ b/bench/kingcuptrail-bench/report.cpp
@@ -86,8 +86,8 @@
         return ratio(static_cast<double>(metrics.retries), static_cast<double>(metrics.firstTries));
     }
 
-    /// The least share of what could be answered, over windows of ten seconds: what was offered, or what the targets
-    /// in service bear.
+    /// The minimum, over all windows of ten seconds, of the answered requests as a fraction of those that could be answered.
+    /// In each second that is the smaller of the offered requests and the capacity of the targets in service.
     double leastService(const ExperimentSpec& experiment, const Metrics& metrics)
     {
         constexpr std::size_t window = 10;
--- a/bench/kingcuptrail-bench/report.h
+++ b/bench/kingcuptrail-bench/report.h
@@ -8,19 +8,19 @@
 
 namespace kingcuptrail {
 
-/// What one policy came to in an experiment.
+/// The metrics of an experiment under one policy.
 struct PolicyResult {
     PolicyName policy = PolicyName::Full;
     Metrics metrics;
 };
 
-/// All results as JSON.
+/// The results of all policies as a JSON document.
 std::string toJson(const ExperimentSpec& experiment, const std::vector<PolicyResult>& results);
 
-/// The results as a table, one column for each policy.
+/// The results as a text table with one column for each policy.
 std::string toTable(const ExperimentSpec& experiment, const std::vector<PolicyResult>& results);
 
-/// Requests answered in each second, one line for each policy, as SVG.
+/// A plot of the requests answered in each second, with one line for each policy, as an SVG document.
 std::string toPlot(const ExperimentSpec& experiment, const std::vector<PolicyResult>& results);
 
 }
--- a/bench/kingcuptrail-bench/svgplot.cpp
+++ b/bench/kingcuptrail-bench/svgplot.cpp
@@ -20,7 +20,7 @@
     constexpr double legendStep = 20;
     constexpr std::array<std::string_view, 6> colours { "#c0392b", "#2980b9", "#d68910", "#7d3c98", "#1e8449", "#555555" };
 
-    /// Maps values to places on the page.
+    /// Maps values to coordinates in the drawing.
     struct Scale {
         double xMax = 1;
         double yMax = 1;
@@ -52,7 +52,7 @@
             out << "<line x1=\"" << left << "\" x2=\"" << width - right << "\" y1=\"" << scale.y(value) << "\" y2=\"" << scale.y(value) << "\" stroke=\"#dddddd\"/>\n";
             text(out, left - 8, scale.y(value) + 4, "end", std::to_string(static_cast<long>(value)));
         }
-        // Each whole number has a tick while they are few: between two of them a label would be wrong.
+        // On a short axis the ticks stand at whole numbers, because labels are truncated to whole numbers.
         const int ticks = scale.xMax < 2 * xTicks ? static_cast<int>(scale.xMax) : xTicks;
         for (int tick = 0; tick <= ticks; ++tick) {
             const double value = scale.xMax * tick / ticks;
--- a/bench/kingcuptrail-bench/svgplot.h
+++ b/bench/kingcuptrail-bench/svgplot.h
@@ -5,13 +5,13 @@
 
 namespace kingcuptrail {
 
-/// One line of a plot: a value for each whole number on the x axis, from 0.
+/// One line of a plot; the values belong to x = 0, 1, 2 and so on.
 struct PlotLine {
     std::string name;
     std::vector<double> values;
 };
 
-/// A plot of lines over a common x axis. The package index has no small plot library for C++, hence this one.
+/// A plot of lines over a common x axis. Written here since no small plotting library for C++ is packaged.
 struct SvgPlot {
     std::string title;
     std::string xLabel;
@@ -19,7 +19,7 @@
     std::vector<PlotLine> lines;
 };
 
-/// The plot as an SVG document.
+/// Renders the plot as an SVG document.
 std::string renderSvg(const SvgPlot& plot);
 
 }
--- a/bench/kingcuptrail-slopes/fakeagents.h
+++ b/bench/kingcuptrail-slopes/fakeagents.h
@@ -10,17 +10,17 @@
 
 namespace kingcuptrail {
 
-/// Many agents in one process, as a balancer sees them: each announces itself under a lease, accepts the balancer's
-/// link, heartbeats and follows the configuration. They own no flow.
+/// Many simulated agents in one process. Each announces itself under a lease, accepts the balancer's link, sends
+/// heartbeats and follows the configuration. They own no flows.
 class FakeAgents {
 public:
     FakeAgents(asio::io_context& context, const PlatformOptions& platform, std::size_t count, std::size_t services);
 
-    /// Agents whose link to the balancer is up.
+    /// Number of agents whose link to the balancer is up.
     std::size_t linked() const;
-    /// Agents that have this configuration or a newer one in force.
+    /// Number of agents that have this configuration or a newer one in force.
     std::size_t atVersion(ConfigVersion version) const;
-    /// Bytes over all links so far, both ways.
+    /// Bytes sent and received over all links so far.
     std::uint64_t linkBytes() const;
 
 private:
@@ -42,7 +42,8 @@
 /// The name of a service of the measured configuration.
 std::string fakeServiceName(std::size_t number);
 
-/// A configuration of this many services in one data centre; `slots` is what a change changes.
+/// A configuration with this many services in one data centre. `slots` applies to the first service; a change of
+/// configuration changes this value only.
 Config fakeConfig(std::size_t services, std::uint32_t slots);
 
 }
--- a/bench/kingcuptrail-slopes/fakebalancers.cpp
+++ b/bench/kingcuptrail-slopes/fakebalancers.cpp
@@ -9,7 +9,7 @@
 namespace {
 
     constexpr Millis dialTimeout = 2000;
-    /// As a balancer with few links, the most that an agent may have to bear.
+    /// The interval of a balancer with few links, which is the highest load of heartbeats on an agent.
     constexpr Millis heartbeatBase = 500;
 
 }
--- a/bench/kingcuptrail-slopes/fakebalancers.h
+++ b/bench/kingcuptrail-slopes/fakebalancers.h
@@ -8,12 +8,12 @@
 
 namespace kingcuptrail {
 
-/// Many balancers in one process, as an agent sees them: each dials the agent, heartbeats, and may open flows there.
+/// Many simulated balancers in one process. Each connects to the agent, sends heartbeats, and can open flows there.
 class FakeBalancers {
 public:
     FakeBalancers(asio::io_context& context, const asio::ip::tcp::endpoint& agent, std::size_t count);
 
-    /// Opens flows over the links in turn; the agent answers each.
+    /// Opens flows, distributed over the links; the agent answers each with Opened.
     void openFlows(ServiceAddress service, std::size_t count);
 
     std::size_t linked() const;
--- a/bench/kingcuptrail-slopes/main.cpp
+++ b/bench/kingcuptrail-slopes/main.cpp
@@ -14,14 +14,14 @@
 #include <nlohmann/json.hpp>
 
 ABSL_FLAG(std::string, platform, "", "address of the platform");
-ABSL_FLAG(int, pid, 0, "the daemon to measure");
-ABSL_FLAG(std::string, agent, "", "measure an agent at this address (its listen address); otherwise a balancer");
+ABSL_FLAG(int, pid, 0, "process id of the daemon to measure");
+ABSL_FLAG(std::string, agent, "", "listen address of the agent to measure; without it a balancer is measured");
 ABSL_FLAG(std::string, agent_service, "service-0", "the service of the measured agent");
-ABSL_FLAG(uint32_t, peers, 20, "fake agents before a balancer, or fake balancers before an agent");
-ABSL_FLAG(uint32_t, services, 20, "services in the configuration");
-ABSL_FLAG(uint32_t, flows, 0, "flows opened at a measured agent");
-ABSL_FLAG(uint32_t, changes, 0, "changes of configuration while measuring, spread evenly");
-ABSL_FLAG(uint32_t, seconds, 10, "how long to measure");
+ABSL_FLAG(uint32_t, peers, 20, "number of simulated agents of a balancer, or of simulated balancers of an agent");
+ABSL_FLAG(uint32_t, services, 20, "number of services in the configuration");
+ABSL_FLAG(uint32_t, flows, 0, "number of flows opened at a measured agent");
+ABSL_FLAG(uint32_t, changes, 0, "number of configuration changes during the measurement, evenly spaced");
+ABSL_FLAG(uint32_t, seconds, 10, "duration of the measurement in seconds");
 
 namespace {
 
@@ -32,7 +32,7 @@
 constexpr Millis settleTime = 3000;
 constexpr double millisPerSecond = 1000;
 
-/// Runs the loop until the condition holds; false when it does not within the limit.
+/// Runs the event loop until the condition holds. Returns false if it doesn't hold within the limit.
 bool runUntil(asio::io_context& context, Millis limit, const std::function<bool()>& condition)
 {
     const Clock clock;
@@ -65,7 +65,7 @@
     return version;
 }
 
-/// Calls the platform has had, by kind.
+/// Number of calls that the platform has received, by kind.
 nlohmann::json platformCalls(asio::io_context& context, const PlatformOptions& platform)
 {
     nlohmann::json calls;
@@ -86,7 +86,7 @@
     std::vector<Millis> inForce;
 };
 
-/// One row of a slope, per second of the measured time.
+/// The result of one measurement as a JSON object; rates are per second of the measured time.
 nlohmann::json rowOf(const Measured& measured, double seconds)
 {
     nlohmann::json row {
@@ -113,7 +113,7 @@
     std::uint32_t slots = 1;
     const ConfigVersion first = applyAndWait(context, platform, fakeConfig(services, slots));
     if (!runUntil(context, settleLimit, [&] { return agents.linked() == peers && agents.atVersion(first) == peers; })) {
-        std::cerr << "only " << agents.linked() << " of " << peers << " links came up\n";
+        std::cerr << "only " << agents.linked() << " of " << peers << " links are up, or not all agents have the configuration in force\n";
         return 1;
     }
     runFor(context, settleTime);
@@ -176,11 +176,11 @@
 
 int main(int argc, char** argv)
 {
-    absl::SetProgramUsageMessage("Measures a running daemon among many fake peers; one JSON row. See tools/slopes.sh.");
+    absl::SetProgramUsageMessage("Measures a running daemon with many simulated peers and prints one JSON row. See tools/slopes.sh.");
     absl::ParseCommandLine(argc, argv);
     const auto server = parseEndpoint(absl::GetFlag(FLAGS_platform));
     if (!server || absl::GetFlag(FLAGS_pid) == 0) {
-        std::cerr << "--platform and --pid are needed\n";
+        std::cerr << "--platform and --pid are required\n";
         return 2;
     }
     asio::io_context context;
--- a/bench/kingcuptrail-slopes/processusage.cpp
+++ b/bench/kingcuptrail-slopes/processusage.cpp
@@ -22,7 +22,7 @@
     std::string line;
     if (!std::getline(statFile, line))
         return std::nullopt;
-    // The second field is the program's name in brackets, which may hold blanks.
+    // The second field is the program's name in brackets, which may contain spaces.
     std::istringstream fields(line.substr(line.rfind(')') + 1));
     std::string skipped;
     for (int field = 0; field < fieldsBeforeTimes; ++field)
--- a/bench/kingcuptrail-slopes/processusage.h
+++ b/bench/kingcuptrail-slopes/processusage.h
@@ -5,15 +5,15 @@
 
 namespace kingcuptrail {
 
-/// What the kernel counts for a process.
+/// The resource usage of a process as counted by the kernel.
 struct ProcessUsage {
-    /// Processor time since its start, user and system, in milliseconds.
+    /// User and system CPU time since the start of the process, in milliseconds.
     double cpuMillis = 0;
     /// Resident memory, in bytes.
     std::uint64_t residentBytes = 0;
 };
 
-/// Reads /proc for a process; nothing when it is gone.
+/// Reads the usage of a process from /proc; nothing if the process doesn't exist.
 std::optional<ProcessUsage> readUsage(int pid);
 
 }
