--- a/tests/bench/testadmissionmodel.cpp
+++ b/tests/bench/testadmissionmodel.cpp
@@ -4,8 +4,8 @@
 
 using namespace kingcuptrail;
 
-/// The patterns: callers with deadlines and retries ask for more than upstreams can do, for long; and all of them return at
-/// once to cold upstreams after a loss of power.
+/// Admission under two patterns of overload: callers with deadlines and retries exceed the capacity of the upstreams for a
+/// long time, and all callers return at once to cold upstreams after a power failure.
 class TestAdmissionModel : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(TestAdmissionModel);
     CPPUNIT_TEST(goodputDoesNotCollapseUnderOverload);
@@ -31,7 +31,7 @@
         return runSeeds({ .coldFactor = 1.6, .coldFor = 2000, .outage = 1400, .duration = 2500, .order = order, .news = news });
     }
 
-    // Guards against answers that all come late once more is asked than can be done.
+    // Guards against a collapse of goodput: once the load exceeds the capacity, a first-come queue makes all answers late.
     void goodputDoesNotCollapseUnderOverload()
     {
         constexpr Millis duration = 8000;
@@ -42,7 +42,7 @@
         CPPUNIT_ASSERT(inOrder.inTime < atCapacity.inTime / 10);
     }
 
-    // Guards against requests that are late since they queue behind callers whose answer is late anyway.
+    // Guards against new requests that become late because they queue behind requests that are late already.
     void backlogOfAnOutageDoesNotMakeNewRequestsLate()
     {
         const AdmissionOutcome inOrder = runOutage(AdmissionOrder::Arrival, LoadNews::TimelyWaiting);
@@ -52,7 +52,8 @@
         CPPUNIT_ASSERT(lateAside.inTime > lateAside.asked * 3 / 4);
     }
 
-    // Guards against new requests that herd to the agents with the shortest backlog of late ones.
+    // Guards against reports of load that include late openings: new requests then all go to the agents with the shortest
+    // backlog, although other agents could serve them in time as well.
     void backlogDoesNotKeepNewRequestsFromIdleAgents()
     {
         const AdmissionOutcome allTold = runOutage(AdmissionOrder::LateInIdleSlots, LoadNews::AllWaiting);
--- a/tests/bench/testmodel.cpp
+++ b/tests/bench/testmodel.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Ten seconds of a small deployment in which one target drains and one balancer dies.
+/// Twelve seconds of a small deployment in which one target drains and one balancer is killed.
 ExperimentSpec smallExperiment()
 {
     return {
