--- a/bench/libmodel/admissionmodel.cpp
+++ b/bench/libmodel/admissionmodel.cpp
@@ -30,7 +30,7 @@
 
     struct ModelServer {
         AdmissionQueue queue;
-        /// Openings in their handshake, and requests at the upstream.
+        /// Admitted openings whose request has not arrived yet, and requests at the upstream.
         std::uint32_t atWork = 0;
         std::uint32_t running = 0;
         std::deque<std::size_t> requests;
--- a/bench/libmodel/modelagent.cpp
+++ b/bench/libmodel/modelagent.cpp
@@ -129,8 +129,8 @@
     return dataCentre < m_config.dataCentreOut.size() && m_config.dataCentreOut[dataCentre];
 }
 
-/// Ends the wait for the balancers' configuration after a return to service. A balancer that links later doesn't restart
-/// the wait.
+/// Ends the wait for the balancers' configuration after a return to service. A balancer that links afterwards doesn't
+/// restart the wait.
 void ModelAgent::lookForReturn()
 {
     std::vector<ConfigVersion> versions;
--- a/bench/libmodel/modelagent.h
+++ b/bench/libmodel/modelagent.h
@@ -55,7 +55,7 @@
         std::size_t service = 0;
         std::size_t caller = 0;
         Millis heardAt = 0;
-        /// When the last request on the flow ended.
+        /// When the latest request on the flow ended.
         Millis idleSince = 0;
         bool hasFeed = false;
         /// Requests that were received on the flow.
--- a/bench/libmodel/modelcallers.h
+++ b/bench/libmodel/modelcallers.h
@@ -93,7 +93,7 @@
     std::vector<Caller> m_callers;
     /// Index of the first caller of each service, followed by the number of callers.
     std::vector<std::size_t> m_firstOfService;
-    /// Pending requests by the id of their first attempt, and the id of the first attempt by that of the current one.
+    /// Requests in progress by the id of their first attempt, and the id of the first attempt by that of the current one.
     std::map<RequestId, Pending> m_pending;
     std::map<RequestId, RequestId> m_firstOfTry;
     /// Owners at which each once-only key was attempted; every further attempt names them.
--- a/bench/libmodel/modelstore.h
+++ b/bench/libmodel/modelstore.h
@@ -26,7 +26,7 @@
 };
 
 /// A model of the platform's object API: announcements, leases and one configuration, with outages, slow watches and
-/// answers that are lost after the write took effect.
+/// responses that are lost after the write took effect.
 class ModelStore {
 public:
     using OnTargets = std::function<void(const std::vector<TargetRecord>&)>;
