--- a/bench/libmodel/modelagent.h
+++ b/bench/libmodel/modelagent.h
@@ -31,7 +31,7 @@
     void startSettled(const OwnerToken& token);
     void kill();
 
-    /// Starts draining: accepts no new flows and, if `mayExit`, exits after the last flow has ended.
+    /// Starts draining: accepts no new flows and, if `mayExit`, exits when no flow is left.
     void drain(bool mayExit);
     /// Stops draining and accepts new flows again.
     void revokeDrain();
