--- a/tests/scenarios/agentkilled.lua
+++ b/tests/scenarios/agentkilled.lua
@@ -1,6 +1,6 @@
--- An agent dies in the middle of Filings and starts again with an empty ledger. The contractors' callers send what was
--- cut again, on new flows, to whichever agent takes them. A Filing whose upstream had begun it must not run a second
--- time; its caller is told that the outcome is unknown. Feeds there are lost, those elsewhere are not.
+-- An agent is killed in the middle of Filings and restarts with an empty ledger. The callers resend what was cut on new flows,
+-- to whichever agent accepts them. A Filing that its upstream had begun must not run a second time; its caller must be told
+-- that the outcome is unknown. Feeds at that upstream are lost, those at other upstreams are not.
 deploy { services = { { name = "board", count = 3, slots = 5 }, { name = "filing", count = 3, slots = 5, flags = { filing_ms = 600 } } } }
 call { name = "crews", service = "board", load = { feeds = 6, flows = 6, queries_per_second = 30, seconds = 10 } }
 for number = 1, 3 do
@@ -8,8 +8,8 @@
 end
 waitForEvents("crews", "feedItem", 30)
 
--- An upstream that begins a Filing from now on: one whose agent has not been killed yet, or after a while any. Which of
--- them get Filings depends on where the callers' flows were placed.
+-- Waits for an upstream to begin a Filing and returns its name. Upstreams whose agent was killed before are accepted only
+-- after 1500 ms, because which upstreams get Filings depends on where the callers' flows were placed.
 local killed = {}
 local function upstreamThatBegins()
     local begun, since = {}, now()
--- a/tests/scenarios/balancerkilled.lua
+++ b/tests/scenarios/balancerkilled.lua
@@ -1,6 +1,6 @@
--- A crew holds the Permit Board feed open and a contractor uploads a Filing with its drawing. One balancer dies in the
--- middle, comes back, and another dies. Packets of one flow went over all of them. The feeds must go on without a gap,
--- and each Filing must run once: balancers keep nothing of a flow, and the two ends resend what was lost.
+-- Callers hold Permit Board feeds open and upload Filings. One balancer is killed and restarted, and then another is killed.
+-- Packets of every flow passed through all of them. Feeds must continue without a gap and each Filing must run once:
+-- balancers keep no state for a flow, and the two ends of a flow resend what was lost.
 deploy { services = { { name = "board", count = 3, slots = 5 }, { name = "filing", count = 2, slots = 5 } } }
 call { name = "crews", service = "board", load = { feeds = 6, flows = 12, queries_per_second = 40, seconds = 7 } }
 call { name = "contractors", service = "filing", seed = 2, load = { filings = 12, filing_bytes = 400000, seconds = 6 } }
--- a/tests/scenarios/chaos.lua
+++ b/tests/scenarios/chaos.lua
@@ -1,6 +1,6 @@
--- An ordinary bad quarter of an hour in twenty seconds: balancers, agents with their upstreams, and platform with operators
--- each have their own run of failures, which meet as the seed has it. At every moment one balancer works. Whatever
--- meets, end users may lose what was at a failed or taken out upstream and nothing else, and each promise holds.
+-- Overlapping random failures: balancers, agents with their upstreams, and the platform with its operators each have their own
+-- sequence of failures, drawn from the seed. At least one balancer works at any time. Whatever failures coincide, end users may
+-- lose only what was at an upstream that failed or was taken out of service, and every promise must hold.
 math.randomseed(seed)
 local runFor = 16000
 deploy { relays = true, services = {
@@ -13,7 +13,7 @@
         filings = 30, filing_bytes = 200000, seconds = runFor / 1000 + 4 } }
 end
 
--- Every second seed has a fabric that treats packets badly as well.
+-- With every second seed the fabric also duplicates, drops and delays packets.
 if seed % 2 == 0 then fabric { duplicate = 0.05, drop = 0.02, delayMs = 10 } end
 
 local function sleep(from, to)
@@ -21,7 +21,7 @@
     while now() < wakeAt do coroutine.yield() end
 end
 
--- Goes on at the next turn after the condition holds; a condition that does not come is left to the checks at the end.
+-- Yields until the condition holds, for 10000 ms at most; a condition that never holds is left to the final checks.
 local function await(condition)
     local deadline = now() + 10000
     while not condition() and now() < deadline do coroutine.yield() end
@@ -62,7 +62,7 @@
         local dataCentre = pick(deployment.dataCentres)
         for _, out in ipairs { true, false } do
             local id
-            -- An operator tries again until it is accepted.
+            -- Retries until the change is accepted, as an operator would.
             await(function()
                 id = id or startChange { dataCentre = dataCentre, out = out }
                 local result = perform("changed", { id = id })
--- a/tests/scenarios/datacentreout.lua
+++ b/tests/scenarios/datacentreout.lua
@@ -1,6 +1,7 @@
--- Operators take a data centre out while crews hold feeds and Filings are being uploaded there, restart its upstreams, and
--- bring it back while these are cold. Flows that end there are given up, each with its true outcome; those of the other data
--- centres do not notice; nothing reaches the one that is out; the cold ones get no more than they bear.
+-- A data centre is taken out of service while feeds are open and Filings are being uploaded there, its upstreams are
+-- restarted, and it is brought back while they are still cold. Flows that end there must be reported as given up, each
+-- request with its true outcome; flows of other data centres must be unaffected; no opening may reach the data centre while
+-- it is out; cold upstreams must get no more than they can serve.
 deploy { services = {
     { name = "board", count = 6, slots = 5, warmUpMs = 4000, flags = { cold_for_ms = 2000 } },
     { name = "filing", count = 3, slots = 5, warmUpMs = 4000, flags = { filing_ms = 300, cold_for_ms = 2000 } },
@@ -21,5 +22,5 @@
 callResult "crews"
 callResult "contractors"
 local summary = check()
-expect(summary.broken == 0, "no flow to be cut that was not given up")
+expect(summary.broken == 0, "no flow to be cut other than those given up")
 expect(summary.givenUp > 0, "flows of the data centre to be given up")
--- a/tests/scenarios/frozenagent.lua
+++ b/tests/scenarios/frozenagent.lua
@@ -1,6 +1,6 @@
--- An agent is paused for longer than its lease while a Filing is at work there, and goes on with a lapsed lease as if
--- nothing had been. Its caller has sent the Filing again elsewhere meanwhile. It may run at one of the two only, and
--- nobody may be told that it did not run when it did.
+-- An agent is paused for longer than its lease while its upstream processes a Filing, and continues after the lease has
+-- lapsed. Meanwhile the caller has resent the Filing to another upstream. The Filing may run at only one of the two, and no
+-- caller may be told that it did not run when it did.
 deploy { services = { { name = "filing", count = 3, slots = 5, flags = { filing_ms = 500 } } } }
 for number = 1, 2 do
     call { name = "contractors-" .. number, service = "filing", seed = 20 + number, load = {
--- a/tests/scenarios/frozenbalancer.lua
+++ b/tests/scenarios/frozenbalancer.lua
@@ -1,6 +1,6 @@
--- A balancer's host stalls for some seconds and then goes on as if nothing had been: its links stay open, it acts on
--- packets and on news that are old by then. End users must notice no more than a delay: the packets it held are sent
--- again over the others, and what it delivers late is recognised as a repetition.
+-- A balancer's process is paused for some seconds and continues: its links stay open, and it acts on packets and gossip that
+-- are out of date by then. End users must notice no more than a delay: the packets that it held are resent over the other
+-- balancers, and what it delivers late must be recognised as duplicates.
 deploy { services = { { name = "board", count = 3, slots = 5 }, { name = "filing", count = 2, slots = 5 } } }
 call { name = "crews", service = "board", load = { feeds = 6, flows = 6, queries_per_second = 30, seconds = 10 } }
 call { name = "contractors", service = "filing", seed = 5, load = { filings = 20, filing_bytes = 300000, seconds = 10 } }
--- a/tests/scenarios/guardoff.lua
+++ b/tests/scenarios/guardoff.lua
@@ -1,6 +1,7 @@
--- The proof that the checker can see a request run twice: agents die in the middle of uploads as in agentkilled.lua, but
--- the callers do not name the earlier owners when they send again, so no agent can ask what became of the first try.
--- Which upload a kill meets, and whether its caller's retry budget has room, is chance; so kills go on until one ran twice.
+-- Shows that the checker detects a request that ran twice. Agents are killed in the middle of uploads as in agentkilled.lua,
+-- but the callers do not name the earlier owners when they retry, so no agent can query the outcome of the first attempt.
+-- Whether a kill hits an upload, and whether that caller still has retry budget, is random; kills are repeated until one
+-- request has run twice.
 deploy { services = { { name = "filing", count = 3, slots = 5, flags = { filing_ms = 600 } } } }
 for number = 1, 6 do
     call { name = "contractors-" .. number, service = "filing", seed = 10 + number, load = {
--- a/tests/scenarios/idlerestart.lua
+++ b/tests/scenarios/idlerestart.lua
@@ -1,5 +1,6 @@
--- An upstream without any work is restarted within milliseconds, between two looks at its health, and is cold. No request
--- failed, no feed was cut and no connection was refused. What comes next must not be let in as if it were warm.
+-- An idle upstream is restarted within milliseconds, between two health checks, and is cold afterwards. No request failed, no
+-- feed was cut and no connection was refused, so the agent has no direct sign of the restart. The next requests must not be
+-- admitted as if the upstream were warm.
 deploy { services = { { name = "filing", count = 1, slots = 5, warmUpMs = 3000, flags = { cold_for_ms = 3000, query_ms = 40, filing_ms = 300 } } } }
 call { name = "crews", service = "filing", load = { flows = 12, queries_per_second = 100, seconds = 8 } }
 callResult "crews"
--- a/tests/scenarios/operatorsrace.lua
+++ b/tests/scenarios/operatorsrace.lua
@@ -1,6 +1,6 @@
--- Two operators change the configuration at the same moment, and the platform's answer to a write is lost after the
--- write took effect. One of them must win and know it by reading back; the other must be told that it lost, and to
--- which version. Every daemon ends with the winner's and never goes back.
+-- Two operators change the configuration at the same time, and the platform's answer to a write is lost after the write took
+-- effect. At least one of them must succeed and learn it by reading back; the other must be told that its write conflicted,
+-- and with which version. Every daemon must end with the newest version and never go back to an older one.
 deploy { services = { { name = "board", count = 3, slots = 5 } } }
 call { name = "crews", service = "board", load = { feeds = 6, flows = 6, queries_per_second = 30, seconds = 5 } }
 waitForEvents("crews", "feedItem", 20)
--- a/tests/scenarios/packets.lua
+++ b/tests/scenarios/packets.lua
@@ -1,6 +1,6 @@
--- The fabric treats packets badly: a fifth of them comes twice, over two balancers, every twentieth is lost, and each
--- takes its own time, so that they overtake each other. Feeds must stay without gap or repetition, answers whole, and a
--- Filing that arrives twice must run once.
+-- The fabric duplicates a fifth of the packets (over two balancers), drops every twentieth, and delays each by a random
+-- time, which reorders them. Feeds must have no gaps or repeated items, answers must be complete, and a Filing that arrives
+-- twice must run once.
 deploy { services = { { name = "board", count = 3, slots = 5 }, { name = "filing", count = 2, slots = 5 } } }
 fabric { duplicate = 0.2, drop = 0.05, delayMs = 30 }
 call { name = "crews", service = "board", load = { feeds = 6, flows = 6, queries_per_second = 30, seconds = 7, query_deadline_ms = 8000 } }
--- a/tests/scenarios/platformdown.lua
+++ b/tests/scenarios/platformdown.lua
@@ -1,6 +1,7 @@
--- The platform's store goes down for longer than any lease. Feeds and Filings must go on, since no daemon needs it to
--- carry a packet. Meanwhile a balancer is replaced and knows nothing: until it does it must take no packet, or it would
--- lose what is handed to it, and it must join when the store is back. An older configuration must not return.
+-- The platform's store is down for longer than any lease. Feeds and Filings must continue, because no daemon needs the
+-- store to forward a packet. A balancer that is restarted meanwhile has no configuration and no members: it must accept no
+-- packets until it has them, since it would drop them, and it must join once the store is back. No daemon may return to an
+-- older configuration.
 deploy { services = { { name = "board", count = 3, slots = 5 }, { name = "filing", count = 2, slots = 5 } } }
 call { name = "crews", service = "board", load = { feeds = 6, flows = 6, queries_per_second = 30, seconds = 12 } }
 call { name = "contractors", service = "filing", seed = 4, load = { filings = 24, filing_bytes = 200000, seconds = 12 } }
@@ -12,7 +13,7 @@
 kill "b3"
 start "b3"
 waitForEvents("contractors", "requestSent", 17)
-expect(status("b3") and not balancersUp()[3], "a balancer that knows nobody to get no packets")
+expect(status("b3") and not balancersUp()[3], "a balancer without members to get no packets")
 platform {}
 waitUntilReady()
 waitForVersion(version, deployment.balancers)
--- a/tests/scenarios/quietrestart.lua
+++ b/tests/scenarios/quietrestart.lua
@@ -1,6 +1,6 @@
--- An upstream that only holds feeds for the moment is restarted within milliseconds and is cold. No request was under way
--- and no connection was refused: its agent sees nothing but feeds that were cut. The crews all come back at once, with
--- their queries, and must not be let in as if it were warm.
+-- An upstream that only serves feeds is restarted within milliseconds and is cold afterwards. No request was in progress and
+-- no connection was refused: its agent sees only that feeds were cut. All callers reconnect at once and send queries, which
+-- must not be admitted as if the upstream were warm.
 deploy { services = { { name = "board", count = 2, slots = 5, warmUpMs = 4000, flags = { cold_for_ms = 2000, query_ms = 60 } } } }
 call { name = "crews", service = "board", load = { feeds = 16, flows = 4, seconds = 7 } }
 waitForEvents("crews", "feedItem", 100)
--- a/tests/scenarios/runner/childprocess.cpp
+++ b/tests/scenarios/runner/childprocess.cpp
@@ -22,7 +22,7 @@
             _exit(exitCannotExecute);
         dup2(output, STDOUT_FILENO);
         dup2(output, STDERR_FILENO);
-        // A child that inherited a socket of a relay would keep it open after the relay has cut it.
+        // An inherited relay socket would stay open in the child after the relay has closed it.
         close_range(STDERR_FILENO + 1, ~0U, 0);
         execv(program.c_str(), arguments.data());
         _exit(exitCannotExecute);
--- a/tests/scenarios/runner/childprocess.h
+++ b/tests/scenarios/runner/childprocess.h
@@ -11,13 +11,13 @@
 
 namespace kingcuptrail {
 
-/// A program run by a scenario. It is killed when this is destroyed, and by the host when the runner itself dies.
+/// A program run as a child process. It is killed when this object is destroyed, and by the kernel when the parent dies.
 class ChildProcess {
 public:
-    /// Gets each line of standard output and standard error.
+    /// Receives each line of standard output and standard error.
     using OnLine = std::function<void(const std::string& line)>;
 
-    /// Null when it cannot be started.
+    /// Starts the program; null when no pipe or process can be created.
     static std::unique_ptr<ChildProcess> start(asio::io_context& context, const std::string& program, const std::vector<std::string>& arguments, OnLine onLine);
 
     ~ChildProcess();
@@ -26,7 +26,7 @@
 
     bool signal(int number);
 
-    /// Nothing while it runs; its exit code, or 128 and the signal that ended it.
+    /// The exit code, or 128 plus the number of the signal that ended it; nothing while the process runs.
     std::optional<int> exitCode();
 
 private:
--- a/tests/scenarios/runner/heldport.h
+++ b/tests/scenarios/runner/heldport.h
@@ -4,9 +4,9 @@
 
 namespace kingcuptrail {
 
-/// A free port of 127.0.0.1, held for a program that is about to listen there, and again after it was restarted. The
-/// holder is bound but never listens: the host gives the port to nobody else, and a listener that sets SO_REUSEADDR, as
-/// all of ours do, may still take it.
+/// Reserves a free port of 127.0.0.1 for a program that is about to listen there, also across restarts of the program.
+/// The socket is bound but never listens: the kernel assigns the port to no other socket, while a listener that sets
+/// SO_REUSEADDR, as all programs of this project do, can still bind it.
 class HeldPort {
 public:
     HeldPort();
--- a/tests/scenarios/runner/main.cpp
+++ b/tests/scenarios/runner/main.cpp
@@ -9,9 +9,9 @@
 #include <lua5.4/lua.hpp>
 #include <unistd.h>
 
-ABSL_FLAG(std::string, folder, "", "where histories, settings and logs go; a temporary one, removed after a pass, when empty");
+ABSL_FLAG(std::string, folder, "", "folder for histories, settings and logs; if empty, a temporary one that is removed after a pass");
 
-ABSL_FLAG(int, seed, 1, "the global `seed` of the script");
+ABSL_FLAG(int, seed, 1, "value of the script's global `seed`");
 
 using namespace kingcuptrail;
 
@@ -20,8 +20,8 @@
 constexpr int exitFailed = 1;
 constexpr int exitUsage = 2;
 
-/// perform(verb, arguments): all verbs go through it. Lua reports an error by a jump past C++ frames, so it is raised
-/// only where nothing is left to destroy.
+/// The Lua function perform(verb, arguments). lua_error() jumps past C++ frames without running destructors, so it is called
+/// only after all objects with destructors are gone.
 int perform(lua_State* lua)
 {
     bool hasFailed = false;
@@ -38,7 +38,7 @@
     return hasFailed ? lua_error(lua) : 1;
 }
 
-/// Adds where in the script it happened.
+/// Message handler that adds a stack traceback to the error.
 int explain(lua_State* lua)
 {
     luaL_traceback(lua, lua, lua_tostring(lua, 1), 1);
@@ -68,7 +68,7 @@
 
 int main(int argc, char** argv)
 {
-    absl::SetProgramUsageMessage("Runs one scenario: scenario_runner SCRIPT.lua. Exit code 1: it failed; its files are kept.");
+    absl::SetProgramUsageMessage("Runs one scenario: scenario_runner SCRIPT.lua. Exit code 1: the scenario failed; its files are kept.");
     const auto arguments = absl::ParseCommandLine(argc, argv);
     if (arguments.size() != 2)
         return exitUsage;
--- a/tests/scenarios/runner/relay.cpp
+++ b/tests/scenarios/runner/relay.cpp
@@ -73,7 +73,7 @@
             });
         }
 
-        /// One end closed. A silent connection tells the other end nothing of that either.
+        /// Handles the close of one end. A silent connection does not close the other end either.
         void end()
         {
             isEnded = true;
--- a/tests/scenarios/runner/relay.h
+++ b/tests/scenarios/runner/relay.h
@@ -6,7 +6,7 @@
 
 namespace kingcuptrail {
 
-/// Passes TCP connections on to a port, and breaks them as something between two hosts would.
+/// Forwards TCP connections to a port of 127.0.0.1 and simulates faults of the network between two hosts.
 class Relay {
 public:
     Relay(asio::io_context& context, std::uint16_t target);
@@ -16,13 +16,13 @@
 
     std::uint16_t port() const;
 
-    /// Swallows every byte of the connections open now, for good and without an error; new ones work.
+    /// From now on drops every byte of the connections that are open now, without an error. New connections work.
     void silence();
 
-    /// Resets the connections open now; new ones work.
+    /// Resets the connections that are open now. New connections work.
     void cut();
 
-    /// While held, nothing passes in either direction, on any connection; afterwards all of it does.
+    /// While held, no connection forwards data in either direction; the data is forwarded afterwards.
     void hold(bool isHeld);
 
     std::size_t connectionCount() const;
--- a/tests/scenarios/runner/scenario.cpp
+++ b/tests/scenarios/runner/scenario.cpp
@@ -23,7 +23,7 @@
 
     struct Process {
         std::unique_ptr<ChildProcess> child;
-        /// Its name, role, upstream and data centre for history events.
+        /// Name, role, upstream and data centre for the history events of this process.
         HistoryEvent about;
         std::vector<std::string> lines;
     };
@@ -119,12 +119,12 @@
         const SignalKind& wanted = signals.at(arguments.at("signal"));
         Process& process = processes.at(arguments.at("name"));
         const bool isAgent = process.about.role == ProcessRole::Agent;
-        // Written first: what follows from a signal must not stand before it in the history.
+        // Recorded before the signal is sent, so that no effect of the signal precedes it in the history.
         record(process.about, wanted.kind);
         if (wanted.kind == HistoryKind::ShutdownBegan && isAgent)
             record(process.about, HistoryKind::DrainBegan);
         if (!process.child->signal(wanted.number))
-            return failure(process.about.process + " does not run");
+            return failure(process.about.process + " is not running");
         return true;
     }
 
@@ -190,7 +190,7 @@
 
     json connections(const json& arguments) { return relays.at(arguments.at("id"))->connectionCount(); }
 
-    /// Starts a change of configuration: a whole `config`, or `dataCentre` with `out`.
+    /// Starts a change of configuration: a complete `config`, or `dataCentre` with `out`. Returns the id of the change.
     json change(const json& arguments)
     {
         auto change = std::make_shared<Change>();
@@ -268,7 +268,7 @@
         history->append(std::move(event));
     }
 
-    /// The log is the daemon's own word on when a version came into force there.
+    /// Keeps the line, and records when a configuration version came into force according to the daemon's log.
     void takeLine(Process& process, const std::string& line)
     {
         process.lines.push_back(line);
@@ -328,7 +328,7 @@
     };
     const auto action = actions.find(verb);
     if (action == actions.end())
-        return failure("no such verb");
+        return failure("unknown verb");
     try {
         return (m_d.get()->*action->second)(arguments);
     } catch (const std::exception& exception) {
--- a/tests/scenarios/runner/scenario.h
+++ b/tests/scenarios/runner/scenario.h
@@ -6,15 +6,15 @@
 
 namespace kingcuptrail {
 
-/// Where the programs under test and the scenario's own files are.
+/// Locations of the programs under test and of the scenario's files.
 struct ScenarioOptions {
-    /// Full paths by name, as "kingcuptraild" or "standin_caller".
+    /// Full paths by program name, such as "kingcuptraild" or "standin_caller".
     std::map<std::string, std::string> programs;
-    /// Histories, settings and logs are written here.
+    /// Folder for histories, settings and logs.
     std::string folder;
 };
 
-/// What a scenario drives: processes, relays, configurations and the history that tells of them.
+/// Carries out the actions of a scenario script: runs processes and relays, changes configurations and records the history.
 class Scenario {
 public:
     explicit Scenario(ScenarioOptions options);
@@ -22,7 +22,7 @@
     Scenario(const Scenario&) = delete;
     Scenario& operator=(const Scenario&) = delete;
 
-    /// Does what a script asked. A result {"error": text} fails the script.
+    /// Runs the action `verb` of a script. A result {"error": text} fails the script.
     nlohmann::json perform(const std::string& verb, const nlohmann::json& arguments);
 
 private:
--- a/tests/scenarios/silentagentlink.lua
+++ b/tests/scenarios/silentagentlink.lua
@@ -1,6 +1,6 @@
--- The path between the balancers and two agents loses track of every connection at once: an upload is at work there, a
--- feed is open, and nothing is ever heard on these links again, while new ones work. The missing heartbeats must show it
--- on both sides and the links be made again before any flow is given up; what was on its way is sent again.
+-- The path between the balancers and two agents loses the state of every connection while an upload is in progress and a feed
+-- is open: nothing more arrives on these links, while new connections work. Both sides must detect the missing heartbeats and
+-- reconnect before any flow is given up; packets that were in flight are resent.
 deploy { services = {
     { name = "board", count = 3, slots = 5, relays = true },
     { name = "filing", count = 2, slots = 5, relays = true, flags = { filing_ms = 400 } },
--- a/tests/scenarios/silentlink.lua
+++ b/tests/scenarios/silentlink.lua
@@ -1,6 +1,6 @@
--- Something between the fabric and two of the balancers loses track of their connections: bytes vanish without a reset,
--- while new connections work. A packet handed to such a link is gone. The missing heartbeats must show it, the links
--- must be made again, and no feed, query or Filing may be lost for it. Later a link is cut by a reset as well.
+-- A device between the fabric and two balancers loses its connection state: bytes of the existing connections are dropped
+-- without a reset, while new connections work. A packet sent on such a link is lost. Both ends must detect the missing
+-- heartbeats and reconnect, and no feed, query or Filing may be lost. Later one link is also cut by a reset.
 deploy { relays = true, services = { { name = "board", count = 3, slots = 5 }, { name = "filing", count = 2, slots = 5 } } }
 call { name = "crews", service = "board", load = { feeds = 6, flows = 6, queries_per_second = 30, seconds = 10 } }
 call { name = "contractors", service = "filing", seed = 6, load = { filings = 20, filing_bytes = 300000, seconds = 10 } }
--- a/tests/scenarios/slownews.lua
+++ b/tests/scenarios/slownews.lua
@@ -1,6 +1,6 @@
--- The platform has become slow for one balancer alone: it hears nothing from it. Operators take a data centre out. The
--- balancer must learn of it from its peers, or it would go on handing packets to a data centre that is out; and the
--- answer that comes hours late, of an older version, must not bring the old state back.
+-- The platform's answers to one balancer are held back, and a data centre is taken out of service. The balancer must learn
+-- of it from its peers, or it would go on forwarding packets to that data centre. The delayed answer, which carries an older
+-- version, must not restore the previous state.
 deploy { slowPlatform = "b2", services = { { name = "board", count = 6, slots = 5 } } }
 call { name = "crews", service = "board", load = { feeds = 6, flows = 6, queries_per_second = 50, seconds = 9 } }
 waitForEvents("crews", "feedItem", 30)
--- a/tests/scenarios/verbs.lua
+++ b/tests/scenarios/verbs.lua
@@ -1,18 +1,18 @@
--- The verbs of the scenarios, made of the few that the runner offers by perform(name, arguments).
+-- Functions for scenarios, built on the actions that the runner offers through perform(name, arguments).
 
-local known = {} -- what was started, by name
+local known = {} -- start arguments of each program, by name
 deployment = {}
 
 function now() return perform("now") end
 function pump(ms) perform("pump", { ms = ms }) end
 
--- Waits until the function yields something true and returns it; fails the scenario after `limit` milliseconds.
+-- Waits until the function returns a true value and returns that; fails the scenario after `limit` milliseconds.
 function waitFor(what, limit, condition)
     local deadline = now() + limit
     while true do
         local result = condition()
         if result then return result end
-        if now() > deadline then error("waited " .. limit .. " ms in vain for " .. what, 2) end
+        if now() > deadline then error("timed out after " .. limit .. " ms waiting for " .. what, 2) end
         pump(20)
     end
 end
@@ -23,7 +23,7 @@
 
 local function localAddress(port) return "127.0.0.1:" .. port end
 
--- Starts a program, or starts one again that was started before under this name.
+-- Starts a program, or restarts the one that was started under this name.
 function start(spec)
     if type(spec) == "string" then spec = known[spec] end
     known[spec.name] = spec
@@ -41,7 +41,7 @@
     return waitFor("the end of " .. name, limit, function() return exitCode(name) end)
 end
 
--- Written down for whoever reads the history; no promise is excused by it.
+-- Recorded for readers of the history only: the checker excuses no violation because of it.
 local function noteLinkFault(relay, what)
     perform("record", { event = "faultBegan", who = "scenario", process = "relay-" .. relay.id, detail = what })
     perform("record", { event = "faultEnded", who = "scenario", process = "relay-" .. relay.id })
@@ -57,10 +57,10 @@
     perform("cut", { id = relay.id })
 end
 
--- Holds back everything that passes a relay, until told to let it go.
+-- Holds back all traffic of a relay while `held` is true.
 function hold(relay, held) perform("hold", { id = relay.id, held = held }) end
 
--- Faults of the fabric: duplicate, drop (parts of the packets), delayMs (a random delay up to it).
+-- Sets the faults of the fabric: duplicate and drop (fractions of the packets), delayMs (maximum random delay).
 function fabric(faults)
     local reply = perform("http", { port = deployment.fabricControl, method = "POST", path = "/faults", body = faults })
     expect(reply and reply.status == 200, "the fabric to take its faults")
@@ -71,7 +71,7 @@
     return reply and reply.body
 end
 
--- Faults of the platform: down, hang, delayMs, slowFor, loseAnswers; without any it works again.
+-- Sets the faults of the platform: down, hang, delayMs, slowFor, loseAnswers. An empty table clears them.
 function platform(faults)
     local isBroken = next(faults) ~= nil
     local body = isBroken and faults or { down = false }
@@ -80,7 +80,7 @@
     perform("record", { event = isBroken and "faultBegan" or "faultEnded", who = "scenario", process = "platform", role = "platform" })
 end
 
--- An upstream's behaviour: slowFactor, sheds, lies, healthy, cold.
+-- Sets an upstream's behaviour: slowFactor, sheds, lies, healthy, cold.
 function upstream(name, behaviour)
     local reply = perform("http", { port = known[name].port, method = "POST", path = "/control", body = behaviour })
     expect(reply and reply.status == 200, name .. " to change its behaviour")
@@ -101,7 +101,7 @@
     return result.version
 end
 
--- The deployment's configuration with another limit of every queue.
+-- The deployment's configuration with this queue limit for every service.
 function configWithLimit(limit)
     local config = { services = {}, dataCentres = deployment.config.dataCentres }
     for index, service in ipairs(deployment.config.services) do
@@ -126,7 +126,7 @@
     end
 end
 
--- Starts a caller; see standin_caller --help for what it can be told. Names of flags have underscores.
+-- Starts a caller. The keys of spec.load are flags of standin_caller, with underscores; see its --help.
 function call(spec)
     local service = deployment.services[spec.service]
     local args = {
@@ -143,15 +143,15 @@
     return lines[#lines] or ""
 end
 
--- Waits until a daemon that was told to stop has left by itself and well.
+-- Waits until a daemon that was told to stop has exited by itself with exit code 0.
 function waitLeft(name, limit)
     local code = waitExit(name, limit or 20000)
     expect(code == 0, name .. " to leave with exit code 0, not " .. code)
 end
 
--- Waits until a caller is done; yields its summary.
+-- Waits until a caller has ended; returns its summary.
 function callResult(name, limit)
-    expect(waitExit(name, limit or 40000) == 0, name .. " to end well")
+    expect(waitExit(name, limit or 40000) == 0, name .. " to end with exit code 0")
     local result = perform("parse", { text = lastLine(name) })
     print(name .. ": " .. lastLine(name))
     return result
@@ -165,9 +165,9 @@
     return count
 end
 
--- Waits until a caller or an upstream has written so many events of a kind in all.
+-- Waits until the history of a caller or an upstream holds at least `count` events of a kind.
 function waitForEvents(name, kind, count, limit)
-    waitFor(count .. " times " .. kind .. " at " .. name, limit or 15000, function() return eventCount(name, kind) >= count end)
+    waitFor(count .. " events " .. kind .. " of " .. name, limit or 15000, function() return eventCount(name, kind) >= count end)
 end
 
 function eventsOf(name, kind) return eventCount(name, kind) end
@@ -211,7 +211,7 @@
     })
 end
 
--- For each balancer whether the fabric gives it packets.
+-- For each balancer, whether the fabric sends it packets.
 function balancersUp()
     local reply = perform("http", { port = deployment.fabricControl, path = "/status" })
     return reply and reply.body.balancersUp or {}
@@ -234,7 +234,7 @@
 
 function waitUntilReady(limit) waitFor("every daemon to be linked", limit or 15000, isReady) end
 
--- The fabric, with balancers at these ports.
+-- Starts the fabric with balancers at these ports.
 local function startFabric(ports)
     deployment.fabric = perform("port")
     deployment.fabricControl = perform("port")
@@ -246,9 +246,10 @@
     } })
 end
 
--- A whole deployment: spec.services by name with count, slots and flags of their upstreams, which take turns over the
--- data centres; spec.relays puts a relay before each balancer, a service's before each of its agents, spec.slowPlatform names the balancer that gets one before
--- the platform. Returns when every daemon is linked.
+-- Starts a whole deployment and returns when every daemon is linked. spec.services lists services with name, count, slots and
+-- flags of their upstreams, which are distributed over the data centres in turn. spec.relays puts a relay in front of each
+-- balancer, a service's relays one in front of each of its agents; spec.slowPlatform names the balancer that reaches the
+-- platform through a relay.
 function deploy(spec)
     deployment = {
         folder = perform("folder"), platform = perform("port"), services = {}, dataCentres = spec.dataCentres or { "north", "south", "east" },
@@ -308,20 +309,20 @@
     return result.violations, summary
 end
 
--- Checks the history of the whole run; fails the scenario where a promise was broken.
+-- Checks the history of the whole run and returns its summary; fails the scenario when a promise was broken.
 function check(options)
     local violations, summary = checked(options)
     if #violations > 0 then error(#violations .. " violations\n" .. table.concat(violations, "\n"), 2) end
     return summary
 end
 
--- How many non-idempotent requests have run twice by now, as the checker sees it.
+-- The number of non-idempotent requests that have run twice so far, according to the checker.
 function doubleRunsSoFar() return perform("check", {}).summary.doubleRuns end
 
--- For runs with a guard switched off: fails the scenario unless this promise was broken and the checker saw it.
+-- For runs with a safeguard switched off: fails the scenario unless the checker reports this promise as broken.
 function checkIsBroken(promise, options)
     for _, violation in ipairs((checked(options))) do
         if violation:find(promise, 1, true) == 1 then return end
     end
-    error("the checker did not see " .. promise .. " broken", 2)
+    error("the checker did not report promise " .. promise .. " as broken", 2)
 end
