--- a/tests/soak/fleet.cpp
+++ b/tests/soak/fleet.cpp
@@ -73,7 +73,7 @@
     }
 }
 
-// A block of loopback addresses for each seed, so that runs side by side do not meet.
+// Each seed has its own block of loopback addresses, so that runs with different seeds can run in parallel.
 asio::ip::address_v4 Fleet::addressOf(std::uint32_t number) const
 {
     constexpr std::uint32_t loopback = 0x7f000000;
@@ -197,7 +197,8 @@
     m_store.write("config", "main", { { "version", m_configVersion }, { "routes", { routeTo("198.18.0.1", "board"), routeTo("198.18.0.2", "intake") } }, { "services", services }, { "limits", { { "idle-timeout-ms", 15000 } } } });
 }
 
-// Ready is asked for twice a second; after two misses a balancer gets no packets until it answers again.
+// Probes the readiness of the balancers twice a second. A balancer that has missed two probes gets no packets until it answers
+// again.
 void Fleet::pollReady()
 {
     for (const auto& daemon : m_daemons) {
@@ -260,7 +261,7 @@
         if (!daemon->process || !daemon->process->exitCode())
             continue;
         if (!daemon->isEnding) {
-            m_promises.breakPromise(Promise::StaysUp, daemon->name + " ended with " + std::to_string(*daemon->process->exitCode()));
+            m_promises.breakPromise(Promise::StaysUp, daemon->name + " exited with code " + std::to_string(*daemon->process->exitCode()));
             start(*daemon);
         } else if (*daemon->process->exitCode() == 0) {
             daemon->process.reset();
--- a/tests/soak/fleet.h
+++ b/tests/soak/fleet.h
@@ -10,18 +10,19 @@
 
 struct FleetOptions {
     std::string program;
-    /// Where settings files and logs go.
+    /// Folder for settings files and logs.
     std::string folder;
     std::uint32_t seed = 1;
-    /// In each of two data centres.
+    /// Balancers and agents in each of two data centres.
     std::uint32_t balancers = 2;
     std::uint32_t agents = 3;
     std::uint32_t callers = 2;
-    /// Routers take the flow's hash modulo the balancers in rotation: nearly every flow moves when one leaves or joins.
+    /// Routers choose by the flow's hash modulo the number of balancers in rotation, so that nearly every flow moves when a
+    /// balancer leaves or joins.
     bool isModulo = false;
 };
 
-/// One daemon: how it is started and, while it runs, its process.
+/// One daemon: its settings and, while it runs, its process.
 struct SoakDaemon {
     std::string name;
     std::string dataCentre;
@@ -31,16 +32,16 @@
     std::unique_ptr<Relay> relay;
     std::unique_ptr<ChildProcess> process;
     std::unique_ptr<Delay> timer;
-    /// Ended by the soak, or about to be.
+    /// The soak has ended the process or is ending it; an exit is expected.
     bool isEnding = false;
     bool isStopped = false;
-    /// Of a balancer: what the routers think.
+    /// Balancers only: readiness probes that the routers have sent since the last success.
     int misses = 2;
     std::shared_ptr<HttpCall> readyCall;
 };
 
-/// Real daemons on loopback addresses of their own, with stand-ins for the store, the routers, the upstreams and the
-/// callers in this process. Ends only processes that it has started.
+/// A deployment of real daemons on loopback addresses of their own, with stand-ins for the store, the routers, the upstreams
+/// and the callers in this process. Ends only processes that it has started.
 class Fleet {
 public:
     Fleet(asio::io_context& context, FleetOptions options, Promises& promises);
@@ -57,7 +58,7 @@
     void bringBack(const std::string& dataCentre);
     void changeConfiguration();
     CallerCounts counts() const;
-    /// Looks for processes that ended by themselves.
+    /// Reports daemons that exited without being told to, and restarts daemons that have exited.
     void checkProcesses();
 
 private:
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -7,13 +7,13 @@
 #include <filesystem>
 #include <iostream>
 
-ABSL_FLAG(unsigned, seed, 1, "draws the faults");
-ABSL_FLAG(unsigned, seconds, 14, "how long faults are made");
+ABSL_FLAG(unsigned, seed, 1, "seed of the random faults");
+ABSL_FLAG(unsigned, seconds, 14, "how long faults are injected");
 ABSL_FLAG(unsigned, balancers, 2, "balancers in each of two data centres");
 ABSL_FLAG(unsigned, agents, 3, "agents in each of two data centres");
-ABSL_FLAG(bool, modulo, false, "routers hash modulo the balancers in rotation");
-ABSL_FLAG(std::string, program, PROGRAM_KINGCUPTRAILD, "the daemon");
-ABSL_FLAG(std::string, folder, "", "where settings and logs go; kept when a promise is broken");
+ABSL_FLAG(bool, modulo, false, "routers choose by hash modulo the number of balancers in rotation");
+ABSL_FLAG(std::string, program, PROGRAM_KINGCUPTRAILD, "path of kingcuptraild");
+ABSL_FLAG(std::string, folder, "", "folder for settings and logs; kept when a promise is broken");
 
 namespace {
 
@@ -22,11 +22,11 @@
 constexpr Millis startTime = 4000;
 constexpr Millis healTime = 8000;
 constexpr Millis calmWindow = 2000;
-/// Of the openings of the calm window at the end, so many in a hundred are answered.
+/// Percentage of the openings in the final fault-free window that have to be answered.
 constexpr std::uint64_t servedAtTheEnd = 95;
 constexpr Millis checkInterval = 50;
 
-/// Makes faults of every kind in series that overlap, drawn from the seed.
+/// Injects overlapping faults of every kind, drawn from the seed.
 class Faults {
 public:
     Faults(asio::io_context& context, Fleet& fleet, Promises& promises, std::uint32_t seed)
@@ -89,17 +89,17 @@
             breakStore(daemon.name);
             break;
         case 7:
-            say("silence " + daemon.name);
+            say("silence store connections of " + daemon.name);
             daemon.relay->silence();
             m_promises.noteDisturbed(daemon.name);
             break;
         case 8:
-            say("cut " + daemon.name + ", history dropped");
+            say("cut store connections of " + daemon.name + ", drop change history");
             daemon.relay->cut();
             m_fleet.store().dropHistory();
             break;
         case 9:
-            say("configuration");
+            say("change configuration");
             m_fleet.changeConfiguration();
             break;
         case 10:
@@ -110,7 +110,7 @@
             restartUpstream();
             break;
         default:
-            say("hangup " + daemon.name);
+            say("SIGHUP to " + daemon.name);
             if (daemon.process && !daemon.isEnding)
                 daemon.process->signal(SIGHUP);
             break;
@@ -137,7 +137,7 @@
     void takeOut()
     {
         m_out = draw(2) == 0 ? "north" : "south";
-        say("out " + m_out);
+        say("take out data centre " + m_out);
         m_fleet.takeOut(m_out);
         m_backTimer.start(2000 + draw(8000), [this] { bringBack(); });
     }
@@ -146,7 +146,7 @@
     {
         if (m_out.empty())
             return;
-        say("back " + m_out);
+        say("bring back data centre " + m_out);
         m_fleet.bringBack(m_out);
         m_out.clear();
     }
@@ -155,11 +155,11 @@
     {
         SoakUpstream& upstream = anyUpstream();
         if (draw(2) == 0 || m_draining.contains(&upstream)) {
-            say("upstream restarts " + upstream.options().host);
+            say("restart upstream of " + upstream.options().host);
             m_draining.erase(&upstream);
             upstream.restart();
         } else {
-            say("upstream drains " + upstream.options().host);
+            say("drain upstream of " + upstream.options().host);
             m_draining.insert(&upstream);
             upstream.startDraining();
         }
@@ -193,7 +193,7 @@
 {
     const std::uint64_t asked = after.asked - before.asked;
     const std::uint64_t opened = after.opened - before.opened;
-    std::cout << "at the end: asked " << asked << ", opened " << opened << "; in all: asked " << after.asked << ", served " << after.served << ", resets " << after.resets << "\n";
+    std::cout << "fault-free window: flows tried " << asked << ", opened " << opened << "; in all: flows tried " << after.asked << ", served " << after.served << ", resets " << after.resets << "\n";
     if (opened * 100 < asked * servedAtTheEnd)
         promises.breakPromise(Promise::Recovers, std::to_string(opened) + " of " + std::to_string(asked));
 }
@@ -213,7 +213,7 @@
 
 int main(int argc, char** argv)
 {
-    absl::SetProgramUsageMessage("Runs daemons of a datagram deployment through drawn faults and checks what callers and upstreams see.");
+    absl::SetProgramUsageMessage("Runs the daemons of a datagram deployment under random faults and checks what callers and upstreams observe.");
     absl::ParseCommandLine(argc, argv);
     const std::uint32_t seed = absl::GetFlag(FLAGS_seed);
     std::string folder = absl::GetFlag(FLAGS_folder);
--- a/tests/soak/promises.cpp
+++ b/tests/soak/promises.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-    /// The bounds of the platform's rules, in milliseconds.
+    /// Bounds of the platform's rules, in milliseconds.
     constexpr Millis contact = 4000;
     constexpr Millis drainBound = 3000;
     constexpr Millis outageBound = 5000;
-    /// While the store is or was disturbed, news may take longer.
+    /// Added to the outage bound while the store is disturbed and shortly afterwards, since changes arrive later then.
     constexpr Millis disturbedStoreBound = 12000;
 
 }
--- a/tests/soak/promises.h
+++ b/tests/soak/promises.h
@@ -12,23 +12,23 @@
 
 namespace kingcuptrail {
 
-/// What the soak found broken, each counted once with its first case.
+/// The promises that the soak checks.
 enum class Promise : std::uint8_t {
-    /// A caller's open flow was reset although the upstream that holds it lives.
+    /// Broken when a caller's open flow is reset although the upstream process that holds it is running.
     FlowKept,
-    /// An opening reached an upstream of a service that its address never led to.
+    /// Broken when an opening reaches an upstream of a service that no configuration mapped to its address.
     RightService,
-    /// An opening reached an upstream too long after it was confirmed to be draining.
+    /// Broken when an opening reaches an upstream too long after its agent confirmed that it is draining.
     DrainHeld,
-    /// An opening reached an upstream of a data centre that had been out for too long.
+    /// Broken when an opening reaches an upstream too long after its data centre was taken out of service.
     OutageHeld,
-    /// An end got a packet that its sender did not write so.
+    /// Broken when an end of a flow receives a packet whose checksum does not match its content.
     Untouched,
-    /// A caller got another request's answer.
+    /// Broken when a caller gets the answer to another caller's request.
     OwnAnswer,
-    /// A process ended by itself.
+    /// Broken when a daemon exits without being told to.
     StaysUp,
-    /// After everything was calm again, callers were not served.
+    /// Broken when callers are not served after all faults have ended.
     Recovers,
 };
 
@@ -37,8 +37,8 @@
     static constexpr std::array<std::string_view, 8> names { "flowKept", "rightService", "drainHeld", "outageHeld", "untouched", "ownAnswer", "staysUp", "recovers" };
 };
 
-/// Checks the promises while the soak runs, from what callers and upstreams see. A host counts only while it was calm: no
-/// fault touched it, or the store, for `contact`.
+/// Checks the promises while the soak runs, from what callers and upstreams observe. Violations that concern a host count only
+/// when no fault has touched that host for `contact`.
 class Promises {
 public:
     explicit Promises(const Clock& clock)
@@ -54,12 +54,12 @@
     void noteRestarted(const std::string& upstream) { m_drainingSince.erase(upstream); }
     void allow(const PacketEndpoint& address, const std::string& service) { m_allowed[toServiceAddress(address)].insert(service); }
 
-    /// An upstream took an opening.
+    /// Records that an upstream accepted an opening, and checks whether it may have reached this upstream.
     void noteOpening(const std::string& upstream, const std::string& service, const std::string& dataCentre, const PacketEndpoint& address);
-    /// An upstream sent an answer with this sequence to a flow; its holder when the caller acknowledges it.
+    /// Records that an upstream answered the flow with this sequence number; it holds the flow if the caller acknowledges it.
     void noteAnswer(const std::string& flow, std::uint32_t sequence, const std::string& upstream, std::uint32_t process) { m_answers[flow][sequence] = { upstream, process }; }
     void noteProcess(const std::string& upstream, std::uint32_t process) { m_processes[upstream] = process; }
-    /// A caller's open flow, opened by the answer with this sequence, was reset by the system.
+    /// Checks the reset of a caller's open flow that was opened by the answer with this sequence number.
     void noteReset(const std::string& flow, std::uint32_t sequence);
 
     void breakPromise(Promise promise, const std::string& what);
--- a/tests/soak/soakcaller.cpp
+++ b/tests/soak/soakcaller.cpp
@@ -118,7 +118,7 @@
     if (flow.request.empty())
         return;
     if (data != "answer to " + flow.request) {
-        // The answer to the request before, sent again on the way, is no other's.
+        // A duplicate of the answer to this caller's previous request is allowed.
         if (!data.starts_with("answer to " + std::to_string(m_address.to_uint()) + "/"))
             m_promises.breakPromise(Promise::OwnAnswer, data + " for " + flow.request);
         return;
@@ -135,7 +135,7 @@
     flow.timer->start(resend, [this, name = toString(flow.key)] { endFlow(name); });
 }
 
-// Later, since the flow's own timer may be calling.
+// Posted, because the caller may be a handler of the flow's own timer, which must not be destroyed while it runs.
 void SoakCaller::endFlow(const std::string& name)
 {
     asio::post(m_context, [this, name] { m_flows.erase(name); });
--- a/tests/soak/soakcaller.h
+++ b/tests/soak/soakcaller.h
@@ -18,11 +18,11 @@
     std::uint64_t resets = 0;
 };
 
-/// A caller behind the routers: opens flows, sends requests on them, some with pauses between, and uses a flow until it
-/// ends or is reset. Sends through any router path that it is given.
+/// A caller behind the routers: opens flows, sends requests on them, some after a pause, and uses a flow until it ends or is
+/// reset. Sends its packets through the given route.
 class SoakCaller {
 public:
-    /// Hands a caller's packet to a balancer, as the routers would.
+    /// Sends a caller's packet to a balancer, as the routers would.
     using Route = std::function<void(const FlowKey&, std::span<const std::uint8_t>)>;
 
     SoakCaller(asio::io_context& context, const asio::ip::address_v4& address, std::uint16_t port, std::vector<PacketEndpoint> services, Route route, Promises& promises, std::uint32_t seed);
--- a/tests/soak/soakpackets.cpp
+++ b/tests/soak/soakpackets.cpp
@@ -34,7 +34,7 @@
 
 }
 
-// The offsets are those of the platform's page, little-endian; see platform/packetcodec.cpp for their meaning.
+// The offsets are those of the platform's packet format, little-endian; platform/packetcodec.cpp gives their meaning.
 std::vector<std::uint8_t> encodePacket(const PacketDraft& draft)
 {
     std::vector<std::uint8_t> packet(bareHeadBytes + draft.data.size());
--- a/tests/soak/soakpackets.h
+++ b/tests/soak/soakpackets.h
@@ -9,7 +9,7 @@
 
 namespace kingcuptrail {
 
-/// What an end of a flow puts into a packet.
+/// The fields of a packet that an end of a flow sets.
 struct PacketDraft {
     PacketEndpoint source;
     PacketEndpoint destination;
@@ -19,13 +19,13 @@
     std::string data;
 };
 
-/// A packet as its sender writes it, with the keyed checksum that only the ends can make.
+/// Encodes a packet as its sender does, with the keyed checksum that only the ends of a flow can compute.
 std::vector<std::uint8_t> encodePacket(const PacketDraft&);
 
-/// Whether the packet is as its sender wrote it: nothing changed but what is the system's to write.
+/// Whether the packet is as its sender wrote it, apart from the marks that the system may set.
 bool isUntouched(std::span<const std::uint8_t> packet);
 
-/// The packet's data.
+/// The data that follows the packet's header.
 std::string dataOf(std::span<const std::uint8_t> packet);
 
 }
--- a/tests/soak/soakupstream.cpp
+++ b/tests/soak/soakupstream.cpp
@@ -79,7 +79,7 @@
         answerData(flow, found->second, *head, dataOf(packet));
 }
 
-// A request is its own number; the answer names it and this process. Sent again, it is answered again.
+// The answer repeats the text of the request. A request that is sent again is answered again.
 void SoakUpstream::answerData(const FlowKey& flow, Flow& state, const PacketHead& head, const std::string& data)
 {
     state.received = head.sequence + head.dataLength;
--- a/tests/soak/soakupstream.h
+++ b/tests/soak/soakupstream.h
@@ -21,13 +21,13 @@
     std::uint16_t controlPort = 0;
 };
 
-/// A server beside an agent: takes flows, answers each request with its own text, hands back what it does not hold, and
-/// reports to its agent. Tells the promises what reached it.
+/// The upstream of an agent: accepts flows, answers each request with the request's text, returns packets of flows that it
+/// does not hold, and reports to its agent. Tells the promise checker which openings reached it.
 class SoakUpstream {
 public:
     SoakUpstream(asio::io_context& context, UpstreamOptions options, Promises& promises, std::uint32_t seed);
 
-    /// The process ends and a new one is there at once; it holds nothing.
+    /// Simulates the end of the process and the immediate start of a new one, which holds no flows.
     void restart();
     void startDraining();
     const UpstreamOptions& options() const { return m_options; }
--- a/tests/soak/storestandin.h
+++ b/tests/soak/storestandin.h
@@ -9,16 +9,16 @@
 
 namespace kingcuptrail {
 
-/// How the store stand-in misbehaves.
+/// Faults of the store stand-in.
 enum class StoreFault : std::uint8_t {
     None,
-    /// Answers nothing.
+    /// Answers no request.
     Silent,
     Busy,
     Reset,
-    /// Takes 60 times as long.
+    /// Takes 60 times as long as usual.
     Slow,
-    /// Does what it is told, and does not answer a part of the writes.
+    /// Carries out all writes, but leaves a part of them unanswered.
     Lost,
 };
 
@@ -27,21 +27,21 @@
     static constexpr std::array<std::string_view, 6> names { "none", "silent", "busy", "reset", "slow", "lost" };
 };
 
-/// The platform's metadata store in memory: objects, revisions, conditional writes, lists and watches. Hosts reach it at
-/// addresses of their own, so that it can turn some away and serve the others.
+/// The platform's metadata store in memory: objects, revisions, conditional writes, lists and watches. Each host connects to a
+/// port of its own, so that a fault can be limited to one host.
 class StoreStandIn {
 public:
     StoreStandIn(asio::io_context& context, std::uint32_t seed);
 
-    /// A way in for one host; its port.
+    /// Opens a listening port for one host and returns its number.
     std::uint16_t openDoor(const std::string& host, const asio::ip::address& address);
 
-    /// Misbehaves towards one host, or towards all with an empty name.
+    /// Sets the fault for requests of one host, or of all hosts if the name is empty.
     void setFault(const std::string& host, StoreFault fault);
-    /// Forgets what changed: watches from before have to list again.
+    /// Discards the change history: watches that start from an older revision are answered 410 and have to list again.
     void dropHistory();
 
-    /// As the operator writes; the revision is the acknowledgement.
+    /// Writes an object as an operator does, without a condition; returns the new revision.
     std::uint64_t write(const std::string& kind, const std::string& name, const nlohmann::json& spec);
     void remove(const std::string& kind, const std::string& name);
 
