--- a/tests/standins/caller/main.cpp
+++ b/tests/standins/caller/main.cpp
@@ -15,14 +15,14 @@
 ABSL_FLAG(std::uint64_t, feeds, 0, "feeds held open");
 ABSL_FLAG(std::uint64_t, flows, 4, "flows held open, over which queries are spread");
 ABSL_FLAG(double, queries_per_second, 0, "rate of queries");
-ABSL_FLAG(std::uint64_t, filings, 0, "filings in all, spread over the run");
+ABSL_FLAG(std::uint64_t, filings, 0, "total number of filings, spread over the run");
 ABSL_FLAG(std::uint64_t, filing_bytes, 2097152, "size of a filing's body");
 ABSL_FLAG(std::int64_t, query_deadline_ms, 3000, "deadline of a query");
 ABSL_FLAG(std::int64_t, filing_deadline_ms, 15000, "deadline of a filing");
 ABSL_FLAG(double, seconds, 10, "length of the run");
 ABSL_FLAG(std::int64_t, probe_ms, 2000, "interval of probes on an idle flow");
 ABSL_FLAG(std::int64_t, silence_ms, 6000, "silence after which a flow is given up");
-ABSL_FLAG(bool, name_earlier_owners, true, "off only to show that the checker sees the double runs that follow");
+ABSL_FLAG(bool, name_earlier_owners, true, "switched off only to show that the checker detects the double runs that result");
 ABSL_FLAG(std::uint64_t, seed, 1, "seed of flow ids and of the load");
 ABSL_FLAG(std::string, history, "", "file that the history is appended to");
 
@@ -42,7 +42,7 @@
         .seed = absl::GetFlag(FLAGS_seed),
         .probeInterval = absl::GetFlag(FLAGS_probe_ms),
         .silenceLimit = absl::GetFlag(FLAGS_silence_ms),
-        // It stands for many end users, each of whom has a retry budget of their own.
+        // This process simulates many end users, each with a retry budget of their own.
         .retry = { .burst = RetryOptions().burst * static_cast<double>(1 + absl::GetFlag(FLAGS_feeds) + absl::GetFlag(FLAGS_flows)) },
         .nameEarlierOwners = absl::GetFlag(FLAGS_name_earlier_owners),
     };
--- a/tests/standins/caller/workload.cpp
+++ b/tests/standins/caller/workload.cpp
@@ -9,7 +9,7 @@
 
     constexpr auto reopenAfter = std::chrono::milliseconds(300);
     constexpr auto pollInterval = std::chrono::milliseconds(50);
-    /// Time for closes to be written and for the last handlers to run.
+    /// Time for the closes of flows to be sent and the last handlers to run.
     constexpr auto closingTime = std::chrono::milliseconds(300);
 
     HistoryKind kindOf(CallOutcome outcome)
@@ -41,7 +41,7 @@
         return counts;
     }
 
-    /// Whether the receipt in an answer names this request; an answer of someone else's would name another key.
+    /// Whether the receipt in an answer names this request; the answer to another request would name another key.
     bool isForKey(const std::string& body, const std::string& key)
     {
         const auto receipt = nlohmann::json::parse(body, nullptr, false);
@@ -204,7 +204,7 @@
     if (!wasOpen)
         return;
     HistoryEvent event { .kind = HistoryKind::FlowBroken, .flow = flow, .reason = reason, .detail = std::string(nameOf(end)) };
-    // An idle flow that a draining upstream lets go carried nothing that could be cut.
+    // A draining upstream closes only idle flows, so no request was cut.
     if (end == CallerFlowEnd::ClosedHere || end == CallerFlowEnd::Drained)
         event.kind = HistoryKind::FlowClosed;
     if (end == CallerFlowEnd::GivenUp)
@@ -216,7 +216,7 @@
 {
     if (std::exchange(m_finishing, true))
         return;
-    // Kept, and not destroyed: a timer that has expired already still calls its handler.
+    // The tickers are not destroyed here, because the handler of a timer that has already expired still runs.
     for (const auto& ticker : m_tickers)
         ticker->left = 0;
     for (const auto& [id, isOpen] : std::map<CallId, bool>(m_feedCalls))
--- a/tests/standins/caller/workload.h
+++ b/tests/standins/caller/workload.h
@@ -14,10 +14,10 @@
     ServiceAddress service = 0;
     std::string serviceName;
     std::size_t feeds = 0;
-    /// Flows held open for the whole run, over which queries are spread.
+    /// Number of flows held open for the whole run, over which queries are spread.
     std::size_t flows = 4;
     double queriesPerSecond = 0;
-    /// In all, spread evenly over the run.
+    /// Total number of filings, spread evenly over the run.
     std::size_t filings = 0;
     std::size_t filingBytes = std::size_t { 2 } * 1024 * 1024;
     Millis queryDeadline = 3000;
@@ -26,15 +26,15 @@
     std::uint64_t seed = 1;
 };
 
-/// What end users do for a while: hold feeds and flows open, send queries and filings, and write down what they saw.
+/// Simulates end users for a limited time: holds feeds and flows open, sends queries and filings, and records the results.
 class Workload {
 public:
     Workload(asio::io_context& context, const CallerOptions& callerOptions, const WorkloadOptions& options, HistoryWriter* history);
 
-    /// Sends nothing new, waits for what is under way, closes everything and stops the context.
+    /// Starts no more calls, cancels the feeds, waits for the calls in progress, closes all flows and stops the context.
     void finish();
 
-    /// One JSON object.
+    /// Counts and latencies of the run as one JSON object.
     std::string summary() const;
 
 private:
@@ -44,7 +44,7 @@
         std::string partial;
     };
 
-    /// What is done again and again at even distances.
+    /// Calls `act` at regular intervals, at most `limit` times.
     struct Ticker {
         Ticker(asio::io_context& context, double perSecond, std::size_t limit, std::function<void()> act);
         void schedule();
--- a/tests/standins/fabric/fabric.cpp
+++ b/tests/standins/fabric/fabric.cpp
@@ -6,7 +6,7 @@
 
     constexpr Millis tickInterval = 50;
     constexpr Millis dialTimeout = 1000;
-    /// Heartbeats a balancer may miss, at the interval that it announces.
+    /// Number of heartbeats that a balancer may miss, at the interval that it announces.
     constexpr Millis missedHeartbeats = 5;
 
     Bytes hello()
--- a/tests/standins/fabric/fabric.h
+++ b/tests/standins/fabric/fabric.h
@@ -24,8 +24,8 @@
     std::uint64_t noCaller = 0;
 };
 
-/// Stands in for the fabric: sprays callers' packets over the balancers whose link is up, and hands packets from
-/// balancers to the caller named by their source.
+/// Stands in for the fabric: sends each packet of a caller to a random balancer whose link is up, and forwards packets of
+/// balancers to the caller that their source names.
 class Fabric {
 public:
     Fabric(asio::io_context& context, const FabricOptions& options);
@@ -33,7 +33,7 @@
     std::uint16_t port() const { return m_acceptor.local_endpoint().port(); }
     void apply(const FaultOptions& faults) { m_faults.apply(faults); }
     const FabricCounts& counts() const { return m_counts; }
-    /// For each balancer, whether it takes packets now.
+    /// For each balancer, whether its link is up and it is sent packets.
     std::vector<bool> balancersUp() const;
 
 private:
--- a/tests/standins/fabric/main.cpp
+++ b/tests/standins/fabric/main.cpp
@@ -8,10 +8,10 @@
 ABSL_FLAG(std::string, listen, "127.0.0.1:0", "address for callers");
 ABSL_FLAG(std::string, control, "127.0.0.1:0", "address of the HTTP control port: GET /status, POST /faults");
 ABSL_FLAG(std::vector<std::string>, balancers, {}, "addresses of the balancers");
-ABSL_FLAG(std::uint64_t, seed, 1, "seed of the spraying and of the faults");
-ABSL_FLAG(double, duplicate, 0, "part of the packets that are sent twice");
-ABSL_FLAG(double, drop, 0, "part of the packets that are lost");
-ABSL_FLAG(std::int64_t, delay_ms, 0, "each packet waits a random time up to this");
+ABSL_FLAG(std::uint64_t, seed, 1, "seed of the choice of balancers and of the faults");
+ABSL_FLAG(double, duplicate, 0, "fraction of the packets that are sent twice");
+ABSL_FLAG(double, drop, 0, "fraction of the packets that are dropped");
+ABSL_FLAG(std::int64_t, delay_ms, 0, "maximum random delay of each packet");
 
 using namespace kingcuptrail;
 
@@ -46,7 +46,7 @@
 
 int main(int argc, char** argv)
 {
-    parseStandinFlags(argc, argv, "Sprays packets of callers over balancers.");
+    parseStandinFlags(argc, argv, "Sends the packets of callers to random balancers, and packets of balancers to their callers.");
     FabricOptions options { .listen = endpointOrExit(absl::GetFlag(FLAGS_listen)), .seed = absl::GetFlag(FLAGS_seed) };
     for (const std::string& address : absl::GetFlag(FLAGS_balancers))
         options.balancers.push_back(endpointOrExit(address));
--- a/tests/standins/fabric/packetfaults.h
+++ b/tests/standins/fabric/packetfaults.h
@@ -10,29 +10,29 @@
 
 namespace kingcuptrail {
 
-/// What the fabric does wrong on purpose. Rates are parts of one, times milliseconds.
+/// Faults that the fabric injects. Rates are fractions from 0 to 1, times are milliseconds.
 struct FaultOptions {
     double duplicate = 0;
     double drop = 0;
-    /// Each packet waits a random time up to this, which also reorders.
+    /// Maximum random delay of each packet; it also reorders packets.
     Millis delay = 0;
-    /// Flows seen so far lose every packet from now on, while new ones work.
+    /// All packets of flows seen so far are dropped, while new flows work.
     bool loseSeenFlows = false;
-    /// Balancers, by their place on the command line, whose links stay up and swallow every byte.
+    /// Indexes of balancers on the command line, from 0. Their links stay up but drop every byte.
     std::vector<std::size_t> silentBalancers;
 };
 
-/// Reads the body of POST /faults; nothing when it is not understood.
+/// Parses the body of POST /faults; nothing when it is malformed.
 std::optional<FaultOptions> parseFaults(const std::string& json);
 
-/// Decides the fate of each packet; the seed reproduces the decisions.
+/// Decides which packets are dropped, duplicated and delayed; the same seed gives the same decisions.
 class PacketFaults {
 public:
     explicit PacketFaults(std::uint64_t seed);
 
     void apply(const FaultOptions& options);
 
-    /// How long each copy of a packet of this flow waits, in milliseconds; empty when it is lost.
+    /// The delay of each copy of the next packet of this flow, in milliseconds; empty when the packet is dropped.
     std::vector<Millis> copies(FlowId flow);
 
     bool isSilent(std::size_t balancer) const;
--- a/tests/standins/platform/main.cpp
+++ b/tests/standins/platform/main.cpp
@@ -7,7 +7,7 @@
 #include <fstream>
 #include <iostream>
 
-ABSL_FLAG(std::string, listen, "127.0.0.1:0", "Address and port; port 0 takes a free one.");
+ABSL_FLAG(std::string, listen, "127.0.0.1:0", "Address and port to listen on; port 0 takes a free one.");
 ABSL_FLAG(std::string, history, "", "File to which each call is appended as a line of JSON.");
 
 using namespace kingcuptrail;
--- a/tests/standins/platform/objectstore.h
+++ b/tests/standins/platform/objectstore.h
@@ -8,17 +8,17 @@
 
 namespace kingcuptrail {
 
-/// What a conditional write came to.
+/// The result of a conditional write.
 struct StoreResult {
     PlatformError error = PlatformError::None;
-    /// The object's version after the write, or the one that the condition failed on; 0 when there is no object.
+    /// The object's version after the write or, after a conflict, its present version; 0 when there is no object.
     ObjectVersion version = 0;
 };
 
-/// Objects by kind and name, with one version that grows by each change, and enough of the last changes for watches.
+/// Objects by kind and name. One version number counts all changes, and the last changes of each kind are kept for watches.
 class ObjectStore {
 public:
-    /// `keptChanges` is how many changes of a kind a watch may be behind.
+    /// `keptChanges`: number of changes of a kind that are kept, and so how far a watch may be behind.
     explicit ObjectStore(std::size_t keptChanges = 10000)
         : m_keptChanges(keptChanges)
     {
@@ -29,7 +29,7 @@
     StoreResult put(const std::string& kind, const std::string& name, std::string value, ObjectVersion ifVersion);
     StoreResult remove(const std::string& kind, const std::string& name, ObjectVersion ifVersion);
 
-    /// The present state of what changed after `since`; nothing when that is not known any more.
+    /// The present state of the objects that changed after `since`; nothing when these changes are no longer kept.
     std::optional<ObjectList> changesSince(const std::string& kind, ObjectVersion since) const;
 
     ObjectVersion version() const { return m_version; }
@@ -43,7 +43,7 @@
     struct Kind {
         std::map<std::string, PlatformObject> objects;
         std::deque<Change> changes;
-        /// The last change that is not kept any more.
+        /// Version of the last change that was discarded.
         ObjectVersion forgotten = 0;
     };
 
--- a/tests/standins/platform/platformserver.cpp
+++ b/tests/standins/platform/platformserver.cpp
@@ -41,7 +41,7 @@
 struct PlatformServer::Call {
     HttpRequest request;
     std::shared_ptr<HttpResponder> responder;
-    /// The path's parts, percent-decoded: "objects", kind, name.
+    /// The segments of the path, percent-decoded: "objects", kind, name.
     std::vector<std::string> parts;
 
     bool isWrite() const { return request.method != "GET"; }
@@ -196,7 +196,7 @@
         wakeWatches(call.parts[1]);
 }
 
-/// Status 0 closes without an answer.
+/// Status 0 closes the connection without an answer.
 void PlatformServer::answer(const Call& call, int status, std::string body)
 {
     if (m_onCall) {
--- a/tests/standins/platform/platformserver.h
+++ b/tests/standins/platform/platformserver.h
@@ -9,17 +9,17 @@
 
 namespace kingcuptrail {
 
-/// What is wrong with the stand-in for the moment.
+/// The active faults of the stand-in.
 struct PlatformFaults {
-    /// Closes each connection without an answer, or with `hang` leaves it without one; for the calls of the client
-    /// `downFor` alone when that is set.
+    /// Closes each connection without an answer or, with `hang`, keeps it open without an answer. Applies only to calls of
+    /// the client `downFor` if that is set.
     bool down = false;
     bool hang = false;
     std::string downFor;
-    /// Wait before a call takes effect, in milliseconds; for the calls of `slowFor` alone when that is set.
+    /// Delay before a call takes effect, in milliseconds. Applies only to calls of the client `slowFor` if that is set.
     Millis delay = 0;
     std::string slowFor;
-    /// So many writes from now on take effect and get no answer.
+    /// Number of following writes that take effect but get no answer.
     unsigned loseAnswers = 0;
 };
 
@@ -29,12 +29,12 @@
     std::size_t waitingWatches = 0;
 };
 
-/// Stands in for the platform's object API, in memory, with faults on demand.
+/// Stands in for the platform's object API: keeps objects in memory and simulates faults.
 class PlatformServer {
 public:
     using OnCall = std::function<void(const std::string& line)>;
 
-    /// `onCall` gets a JSON line for each call that took effect or was refused.
+    /// Null when the endpoint cannot be bound. `onCall` receives a JSON line for each call that took effect or was refused.
     static std::unique_ptr<PlatformServer> listen(asio::io_context& context, const asio::ip::tcp::endpoint& endpoint, OnCall onCall = {});
 
     explicit PlatformServer(asio::io_context& context, OnCall onCall);
@@ -46,7 +46,7 @@
     ObjectStore& store() { return m_store; }
     PlatformCalls calls() const;
     void setFaults(const PlatformFaults& faults);
-    /// Answers the waiting watches of a kind that has changed, as after a write past the API.
+    /// Answers the waiting watches of a kind that has changed; needed after a change made directly in store().
     void wakeWatches(const std::string& kind);
 
 private:
--- a/tests/standins/support/standin.cpp
+++ b/tests/standins/support/standin.cpp
@@ -27,7 +27,7 @@
 {
     if (const auto endpoint = parseEndpoint(text))
         return *endpoint;
-    std::cerr << "not an address and port: " << text << "\n";
+    std::cerr << "not an IP address and port: " << text << "\n";
     std::exit(exitUsage);
 }
 
--- a/tests/standins/support/standin.h
+++ b/tests/standins/support/standin.h
@@ -9,20 +9,20 @@
 
 namespace kingcuptrail {
 
-/// Reads the command line by Abseil's flags.
+/// Parses the command line with Abseil's flags.
 void parseStandinFlags(int argc, char** argv, std::string_view usage);
 
-/// The endpoint "127.0.0.1:80"; the program exits with code 2 when it is none.
+/// Parses an endpoint such as "127.0.0.1:80"; the program exits with code 2 when the text is not one.
 asio::ip::tcp::endpoint endpointOrExit(const std::string& text);
 
-/// A server at the endpoint; the program exits with code 3 when it cannot be bound.
+/// Starts a server at the endpoint; the program exits with code 3 when the endpoint cannot be bound.
 std::unique_ptr<HttpServer> listenOrExit(asio::io_context& context, const asio::ip::tcp::endpoint& endpoint,
     const HttpServerOptions& options, HttpHandler handler);
 
-/// A history that is appended to the file, or none without a file; the program exits with code 3 when it cannot be opened.
+/// Opens a history that appends to the file; null for an empty name. The program exits with code 3 when it cannot be opened.
 std::unique_ptr<HistoryWriter> historyOrExit(const std::string& file, const std::string& who);
 
-/// Tells who waits for this program that it is ready: "listening PORT", and the control port in a second line.
+/// Prints that the program is ready: "listening PORT" and, if there is a control port, a second line "control PORT".
 void printListening(std::uint16_t port, std::uint16_t controlPort = 0);
 
 /// Runs until SIGTERM or SIGINT, or until the context is stopped or has nothing left to do.
--- a/tests/standins/upstream/main.cpp
+++ b/tests/standins/upstream/main.cpp
@@ -9,12 +9,12 @@
 ABSL_FLAG(std::string, name, "upstream-1", "name of the upstream");
 ABSL_FLAG(std::string, service, "board", "name of its service");
 ABSL_FLAG(std::string, data_centre, "north", "its data centre");
-ABSL_FLAG(std::uint32_t, slots, 5, "work it bears at once when warm");
-ABSL_FLAG(std::int64_t, cold_for_ms, 0, "how long a cold start takes");
-ABSL_FLAG(std::uint32_t, cold_bears, 1, "work it bears at once at the beginning of a cold start");
+ABSL_FLAG(std::uint32_t, slots, 5, "requests it can serve at once when warm");
+ABSL_FLAG(std::int64_t, cold_for_ms, 0, "length of a cold start");
+ABSL_FLAG(std::uint32_t, cold_bears, 1, "requests it can serve at once at the beginning of a cold start");
 ABSL_FLAG(std::int64_t, feed_ms, 500, "time between two items of a feed");
-ABSL_FLAG(std::int64_t, query_ms, 10, "time a query takes");
-ABSL_FLAG(std::int64_t, filing_ms, 100, "time a filing takes");
+ABSL_FLAG(std::int64_t, query_ms, 10, "time that a query takes");
+ABSL_FLAG(std::int64_t, filing_ms, 100, "time that a filing takes");
 ABSL_FLAG(std::string, history, "", "file that its history is appended to");
 
 using namespace kingcuptrail;
--- a/tests/standins/upstream/upstream.cpp
+++ b/tests/standins/upstream/upstream.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-    /// How much longer work takes that was begun beyond what the upstream bears.
+    /// Factor on the time of a request that begins while the upstream already serves as many requests as it can.
     constexpr Millis overloadFactor = 10;
     constexpr std::string_view keyHeader = "X-Request-Key";
     constexpr std::string_view hashHeader = "X-Body-Hash";
@@ -66,7 +66,7 @@
         handleControl(request.body, *responder);
         return;
     }
-    // A turn later, so that connections which the agent has closed before this request are counted as gone.
+    // Posted, so that connections which the agent closed before this request are no longer counted.
     asio::post(m_context, [this, request = std::move(request), responder = std::move(responder)]() mutable { begin(std::move(request), std::move(responder)); });
 }
 
@@ -121,7 +121,7 @@
     const bool isFiling = work->request.method == "POST";
     const Millis base = (isFiling ? m_options.filingTime : m_options.queryTime) * (isOverloaded ? overloadFactor : 1);
     work->timer.expires_after(std::chrono::milliseconds(static_cast<Millis>(static_cast<double>(base) * m_behaviour.slowFactor)));
-    // The client is gone: the work is given up, and the timer's cancelled handler drops it.
+    // When the client disconnects, cancelling the timer drops its handler, which holds the last reference to the work.
     work->responder->setOnGone([weak = std::weak_ptr(work)] {
         if (const auto gone = weak.lock())
             gone->timer.cancel();
--- a/tests/standins/upstream/upstream.h
+++ b/tests/standins/upstream/upstream.h
@@ -16,7 +16,8 @@
     std::string service;
     std::string dataCentre;
     std::uint32_t slots = 5;
-    /// How long a cold start takes, and what the upstream bears at its beginning; it bears more and more until its end.
+    /// Length of a cold start, and how many requests the upstream can serve at once at its beginning; the number grows
+    /// linearly until the end.
     Millis coldFor = 0;
     std::uint32_t coldBears = 1;
     Millis feedInterval = 500;
@@ -24,19 +25,19 @@
     Millis filingTime = 100;
 };
 
-/// What POST /control changes.
+/// The settings that POST /control changes.
 struct UpstreamBehaviour {
-    /// Times every piece of work takes longer.
+    /// Factor by which the time of each request is multiplied.
     double slowFactor = 1;
-    /// Turns all work away before it runs.
+    /// Refuses all requests before they run.
     bool sheds = false;
-    /// Answers /health and /load as if all were well and idle.
+    /// Reports itself as healthy and idle in /health and /load, whatever its state.
     bool lies = false;
     bool isHealthy = true;
 };
 
-/// Stands in for an upstream: a feed of numbered items, short queries, and filings that answer with a receipt. Bears
-/// only so much at once; beyond that it answers late and records that it was overloaded.
+/// Stands in for an upstream: serves a feed of numbered items, short queries, and filings that are answered with a receipt.
+/// It can serve a limited number of requests at once; requests beyond that take longer and are recorded as overload.
 class Upstream {
 public:
     Upstream(asio::io_context& context, const UpstreamOptions& options, HistoryWriter* history);
@@ -44,7 +45,7 @@
     void handle(HttpRequest request, std::shared_ptr<HttpResponder> responder);
 
 private:
-    /// One piece of work; counts against the concurrency while it lives.
+    /// A request in progress; counts as concurrent while the object exists.
     struct Work;
 
     void handleControl(const std::string& json, HttpResponder& responder);
