--- a/tools/build.sh
+++ b/tools/build.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Configures and builds everything into build/ (or the folder named by KINGCUPTRAIL_BUILD).
+# Configures and builds everything in build/ (or the folder named by KINGCUPTRAIL_BUILD). Arguments go to cmake --build.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build="${KINGCUPTRAIL_BUILD:-build}"
--- a/tools/demo.sh
+++ b/tools/demo.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Builds, then runs a deployment of three data centres on loopback with feeds, queries and filings while a balancer is killed, an
-# upstream drains, and a data centre is taken out and brought back. The last line is a summary in JSON; the exit code is
-# not 0 where a promise broke. Leaves no process behind, also when it is interrupted.
+# Builds, then runs a deployment of three data centres on loopback with feeds, queries and filings while a balancer is killed,
+# an upstream drains, and a data centre is taken out and brought back. The last line is a summary in JSON; the exit code is
+# not 0 when a promise was broken. Leaves no process behind, even when interrupted.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -15,7 +15,7 @@
 declare -A pids=()
 started=$SECONDS
 
-# Ends every process that is left, one by one by its id.
+# Ends every remaining process, each by its process id.
 end_all() {
     trap - EXIT INT TERM
     local name tries
@@ -26,7 +26,7 @@
     done
     for name in "${!pids[@]}"; do kill -KILL "${pids[$name]}" 2> /dev/null || true; done
     wait 2> /dev/null || true
-    [ -n "${KINGCUPTRAIL_DEMO_KEEP:-}" ] && echo "kept: $work" >&2 || rm -rf "$work"
+    [ -n "${KINGCUPTRAIL_DEMO_KEEP:-}" ] && echo "files kept in $work" >&2 || rm -rf "$work"
 }
 any_running() {
     local name
@@ -44,23 +44,23 @@
 }
 note() { "$standins/note/standin_note" --history="$work/operator.history" --event="$1"; }
 
-# start NAME PROGRAM ARGUMENTS...: in the background, with its output in files named after it.
+# start NAME PROGRAM ARGUMENTS...: starts a program in the background; its output goes to files named after it.
 start() {
     local name="$1"
     shift
     "$@" > "$work/$name.out" 2> "$work/$name.err" &
     pids[$name]=$!
 }
-# port_of NAME: the port that a stand-in says it listens on.
+# port_of NAME: prints the port that a stand-in reports as listening.
 port_of() {
     local tries
     for tries in $(seq 100); do
         awk '$1 == "listening" { print $2; found = 1; exit } END { exit !found }' "$work/$1.out" && return
         sleep 0.05
     done
-    fail "$1 does not listen"
+    fail "$1 did not report a listening port"
 }
-# Sets `port` to one that nobody listens on.
+# Sets `port` to a port on which no process listens.
 next_port=$((20000 + RANDOM % 8000))
 free_port() {
     while (exec 3<> "/dev/tcp/127.0.0.1/$next_port") 2> /dev/null; do next_port=$((next_port + 1)); done
@@ -142,13 +142,13 @@
 for index in 1 2 3; do
     for tries in $(seq 100); do
         [ "$(linked_members $index)" -ge 10 ] && break
-        [ "$tries" -lt 100 ] || fail "balancer-$index does not reach all agents"
+        [ "$tries" -lt 100 ] || fail "balancer-$index is not linked to all agents"
         sleep 0.1
     done
 done
 
 load_seconds=33
-say "configuration in force; feeds, queries and 2 MB filings begin"
+say "configuration in force; starting feeds, queries and 2 MB filings"
 start_caller() { # start_caller NAME SERVICE ADDRESS SEED ARGUMENTS...
     local name="$1" service="$2" address="$3" seed="$4"
     shift 4
@@ -164,10 +164,10 @@
 kill -KILL "${pids[balancer-2]}"
 wait "${pids[balancer-2]}" 2> /dev/null || true
 watch 4
-say "starting balancer-2 again"
+say "restarting balancer-2"
 start_balancer 2 centre
 watch 2
-say "draining board-3: its agent gets SIGTERM"
+say "draining board-3: sending SIGTERM to its agent"
 note '{"event":"drainBegan","process":"agent-board-3","role":"agent","upstream":"board-3"}'
 note '{"event":"shutdownBegan","process":"agent-board-3","role":"agent","upstream":"board-3"}'
 kill -TERM "${pids[agent-board-3]}"
@@ -194,9 +194,9 @@
 done
 if wait_code=0 && ! kill -0 "${pids[agent-board-3]}" 2> /dev/null; then
     wait "${pids[agent-board-3]}" || wait_code=$?
-    say "agent-board-3 has left with exit code $wait_code"
+    say "agent-board-3 exited with code $wait_code"
 else
-    fail "agent-board-3 has not left"
+    fail "agent-board-3 has not exited"
 fi
 
 say "checking the histories"
--- a/tools/format.sh
+++ b/tools/format.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Formats the project's own sources in place; with --check it only reports what differs.
+# Formats the project's own sources in place; with --check it only reports differences.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 mode=(-i)
--- a/tools/fuzz.sh
+++ b/tools/fuzz.sh
@@ -1,7 +1,6 @@
 #!/usr/bin/env bash
-# Builds the fuzzers with clang and gives each so many inputs from a fixed seed, beginning with the cases kept in
-# tests/fuzz/cases. `tools/fuzz.sh RUNS SEED` looks further; an input that crashes is left in build-fuzz/ and belongs into
-# the cases.
+# Builds the fuzzers with clang and runs each with RUNS inputs from a fixed SEED, starting from the cases in tests/fuzz/cases.
+# `tools/fuzz.sh RUNS SEED` sets both; an input that crashes is left in build-fuzz/ and should be added to the cases.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 runs="${1:-200000}"
@@ -12,11 +11,11 @@
 targets=(packet report routes store peer)
 cmake --build "$build" --target "${targets[@]/#/fuzz_}"
 for target in "${targets[@]}"; do
-    # New inputs of a run go to a folder of the build, so that the next run from the same seed is the same.
+    # New inputs go to the build folder and not to the cases, so that runs from the same seed are reproducible.
     found="$build/found-$target"
     rm -rf "$found" && mkdir -p "$found"
     "$build/tests/fuzz/fuzz_$target" -runs="$runs" -seed="$seed" -max_len=4096 -timeout=5 -rss_limit_mb=1024 -print_final_stats=1 \
         -artifact_prefix="$build/crash-$target-" "$found" "tests/fuzz/cases/$target" 2> "$build/fuzz-$target.log" \
         || { tail -n 40 "$build/fuzz-$target.log"; exit 1; }
-    echo "fuzz $target: $(grep -E 'number_of_executed_units' "$build/fuzz-$target.log"), $(grep -c . < <(ls "$found")) new inputs kept"
+    echo "fuzz $target: $(grep -E 'number_of_executed_units' "$build/fuzz-$target.log"), $(grep -c . < <(ls "$found")) new inputs"
 done
--- a/tools/lint.sh
+++ b/tools/lint.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs clang-tidy over the project's own sources, or over the files named on the command line. The fuzzers are built apart
-# (tools/fuzz.sh) and looked at with that build's commands; without it they are left out and named.
+# Runs clang-tidy over the project's own sources, or over the files named on the command line. The fuzzers have a build of
+# their own (tools/fuzz.sh) and are checked with its compile commands; without that build they are skipped and listed.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build="${KINGCUPTRAIL_BUILD:-build}"
@@ -16,5 +16,5 @@
 if [ -f "$fuzzBuild/compile_commands.json" ]; then
     printf '%s\n' "${files[@]}" | { grep "$isFuzzer" || true; } | lint "$fuzzBuild"
 else
-    printf '%s\n' "${files[@]}" | { grep "$isFuzzer" || true; } | sed 's/^/not looked at, no fuzz build: /'
+    printf '%s\n' "${files[@]}" | { grep "$isFuzzer" || true; } | sed 's/^/skipped, no fuzz build: /'
 fi
--- a/tools/regression.sh
+++ b/tools/regression.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Scores and hunts the deployments that every release is measured on, one day at a time.
+# Runs the platform bench's `score` and `hunt` on the deployments that every release is measured on, one job at a time.
 #   tools/regression.sh BENCH SITES OUTPUT
-# BENCH is the platform's bench, SITES the folder of its deployments, OUTPUT the folder for what it prints. Ends with an
-# error when a deployment is not passed or a hunted day breaks a rule.
+# BENCH is the platform's bench, SITES the folder of its deployments, OUTPUT the folder for its output. Exits with an error
+# when a deployment does not pass its gate or a hunt ends with an error.
 set -euo pipefail
 bench="$(realpath "$1")"
 sites="$(realpath "$2")"
@@ -10,7 +10,7 @@
 output="$(realpath "$3")"
 cd "$(dirname "$0")/.."
 
-# Deployment and days to hunt: a day of a larger one plays for minutes.
+# Deployments and the number of days to hunt. Large ones get fewer, since each of their days runs for minutes.
 deployments=(
     "further/tadlaght-lofts 40"
     "further-grown/tadlaght-lofts-grown 8"
--- a/tools/slopes.sh
+++ b/tools/slopes.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Measures what a running balancer and a running agent cost among 5, 20, 80 and 300 peers, and an agent's flows. One
-# JSON row each on standard output. Uses only loopback; ends every process it started.
+# Measures the resource use of a running balancer and a running agent with 5, 20, 80 and 300 peers, and of an agent's flows.
+# Prints one JSON row for each measurement. Uses only loopback; ends every process that it started.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build="$PWD/${KINGCUPTRAIL_BUILD:-build}"
--- a/tools/soak.sh
+++ b/tools/soak.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Runs the fault soak for the seeds FIRST to LAST, four at a time, and lists those that broke a promise.
+# Runs the fault soak for the seeds FIRST to LAST, four at a time, and lists the seeds that broke a promise.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 first="${1:-1}" last="${2:-$first}"
--- a/tools/test.sh
+++ b/tools/test.sh
@@ -1,15 +1,15 @@
 #!/usr/bin/env bash
-# Installs what is missing, builds, and runs every test. --long adds the long seeded runs.
+# Installs missing packages, builds, and runs every test. --long adds the long seeded runs.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 tools/packages.sh
 tools/build.sh
 labels=(-LE long)
 [ "${1:-}" = "--long" ] && labels=()
-# A test named in KNOWN-RED.txt is a real fault that is not mended yet: it is printed and passed over.
+# Tests listed in KNOWN-RED.txt fail because of a known fault that is not fixed yet: they are printed and skipped.
 known=()
 if [ -f KNOWN-RED.txt ] && grep -qvE '^\s*(#|$)' KNOWN-RED.txt; then
-    echo "Known red, passed over:"
+    echo "Known failures, skipped:"
     grep -vE '^\s*(#|$)' KNOWN-RED.txt
     known=(-E "^($(grep -vE '^\s*(#|$)' KNOWN-RED.txt | cut -d, -f1 | paste -sd '|'))\$")
 fi
