--- a/tests/scenarios/chaos.lua
+++ b/tests/scenarios/chaos.lua
@@ -22,7 +22,7 @@
 end
 
 -- Yields until the condition holds, for 10000 ms at most; a condition that never holds is left to the final checks.
-local function await(condition)
+local function waitOrTimeOut(condition)
     local deadline = now() + 10000
     while not condition() and now() < deadline do coroutine.yield() end
 end
@@ -41,13 +41,13 @@
 local balancerFailures = {
     function(name) kill(name) sleep(200, 1500) start(name) end,
     function(name) freeze(name) sleep(500, 3500) thaw(name) end,
-    function(name) stop(name) await(function() return exitCode(name) end) start(name) end,
+    function(name) stop(name) waitOrTimeOut(function() return exitCode(name) end) start(name) end,
     function(name) silence(deployment.relays[name]) sleep(2500, 3500) end,
     function(name) cut(deployment.relays[name]) end,
 }
 
 local upstreamFailures = {
-    function(name) kill("agent-" .. name) sleep(100, 1500) start("agent-" .. name) await(isUp("agent-" .. name)) end,
+    function(name) kill("agent-" .. name) sleep(100, 1500) start("agent-" .. name) waitOrTimeOut(isUp("agent-" .. name)) end,
     function(name) freeze("agent-" .. name) sleep(300, 5000) thaw("agent-" .. name) end,
     function(name) kill(name) sleep(0, 500) start(name) end,
     function(name) silence(deployment.relays[name]) sleep(2500, 4000) end,
@@ -63,7 +63,7 @@
         for _, out in ipairs { true, false } do
             local id
             -- Retries until the change is accepted, as an operator would.
-            await(function()
+            waitOrTimeOut(function()
                 id = id or startChange { dataCentre = dataCentre, out = out }
                 local result = perform("changed", { id = id })
                 if result and result.outcome ~= "none" then id = nil end
@@ -76,7 +76,7 @@
 
 local endAt = now() + runFor
 
-local function track(failures, name)
+local function failureLoop(failures, name)
     return coroutine.create(function()
         while now() < endAt do
             pick(failures)(name())
@@ -85,16 +85,16 @@
     end)
 end
 
-local tracks = {
-    track(balancerFailures, function() return pick(deployment.balancers) end),
-    track(upstreamFailures, function() return pick(upstreamNames()) end),
-    track(platformFailures, function() end),
+local failureLoops = {
+    failureLoop(balancerFailures, function() return pick(deployment.balancers) end),
+    failureLoop(upstreamFailures, function() return pick(upstreamNames()) end),
+    failureLoop(platformFailures, function() end),
 }
-while #tracks > 0 do
-    for index = #tracks, 1, -1 do
-        local ok, message = coroutine.resume(tracks[index])
+while #failureLoops > 0 do
+    for index = #failureLoops, 1, -1 do
+        local ok, message = coroutine.resume(failureLoops[index])
         if not ok then error(message) end
-        if coroutine.status(tracks[index]) == "dead" then table.remove(tracks, index) end
+        if coroutine.status(failureLoops[index]) == "dead" then table.remove(failureLoops, index) end
     end
     pump(20)
 end
--- a/tests/scenarios/verbs.lua
+++ b/tests/scenarios/verbs.lua
@@ -1,6 +1,6 @@
 -- Functions for scenarios, built on the actions that the runner offers through perform(name, arguments).
 
-local known = {} -- start arguments of each program, by name
+local specsByName = {} -- start arguments of each program, by name
 deployment = {}
 
 function now() return perform("now") end
@@ -25,12 +25,12 @@
 
 -- Starts a program, or restarts the one that was started under this name.
 function start(spec)
-    if type(spec) == "string" then spec = known[spec] end
-    known[spec.name] = spec
+    if type(spec) == "string" then spec = specsByName[spec] end
+    specsByName[spec.name] = spec
     perform("spawn", spec)
 end
 
-local function signal(name, which) perform("signal", { name = name, signal = which }) end
+local function signal(name, signalName) perform("signal", { name = name, signal = signalName }) end
 function kill(name) signal(name, "KILL") end
 function freeze(name) signal(name, "STOP") end
 function thaw(name) signal(name, "CONT") end
@@ -42,18 +42,18 @@
 end
 
 -- Recorded for readers of the history only: the checker excuses no violation because of it.
-local function noteLinkFault(relay, what)
+local function recordLinkFault(relay, what)
     perform("record", { event = "faultBegan", who = "scenario", process = "relay-" .. relay.id, detail = what })
     perform("record", { event = "faultEnded", who = "scenario", process = "relay-" .. relay.id })
 end
 
 function silence(relay)
-    noteLinkFault(relay, "silence")
+    recordLinkFault(relay, "silence")
     perform("silence", { id = relay.id })
 end
 
 function cut(relay)
-    noteLinkFault(relay, "cut")
+    recordLinkFault(relay, "cut")
     perform("cut", { id = relay.id })
 end
 
@@ -67,7 +67,7 @@
 end
 
 function status(name)
-    local reply = perform("http", { port = known[name].admin, path = "/status" })
+    local reply = perform("http", { port = specsByName[name].admin, path = "/status" })
     return reply and reply.body
 end
 
@@ -82,7 +82,7 @@
 
 -- Sets an upstream's behaviour: slowFactor, sheds, lies, healthy, cold.
 function upstream(name, behaviour)
-    local reply = perform("http", { port = known[name].port, method = "POST", path = "/control", body = behaviour })
+    local reply = perform("http", { port = specsByName[name].port, method = "POST", path = "/control", body = behaviour })
     expect(reply and reply.status == 200, name .. " to change its behaviour")
 end
 
@@ -288,7 +288,7 @@
             dataCentre = deployment.dataCentres[(index - 1) % #deployment.dataCentres + 1],
         })
         table.insert(deployment.balancers, name)
-        local port = known[name].port
+        local port = specsByName[name].port
         if spec.relays then
             deployment.relays[name] = perform("relay", { to = port })
             port = deployment.relays[name].port
@@ -299,7 +299,7 @@
     waitUntilReady()
 end
 
-local function checked(options)
+local function runCheck(options)
     pump(100)
     local result = perform("check", options or {})
     local summary = result.summary
@@ -311,7 +311,7 @@
 
 -- Checks the history of the whole run and returns its summary; fails the scenario when a promise was broken.
 function check(options)
-    local violations, summary = checked(options)
+    local violations, summary = runCheck(options)
     if #violations > 0 then error(#violations .. " violations\n" .. table.concat(violations, "\n"), 2) end
     return summary
 end
@@ -321,7 +321,7 @@
 
 -- For runs with a safeguard switched off: fails the scenario unless the checker reports this promise as broken.
 function checkIsBroken(promise, options)
-    for _, violation in ipairs((checked(options))) do
+    for _, violation in ipairs((runCheck(options))) do
         if violation:find(promise, 1, true) == 1 then return end
     end
     error("the checker did not report promise " .. promise .. " as broken", 2)
--- a/tools/demo.sh
+++ b/tools/demo.sh
@@ -37,12 +37,12 @@
 trap 'exit 130' INT
 trap 'exit 143' TERM
 
-say() { printf '[%2d s] %s\n' $((SECONDS - started)) "$*"; }
+log() { printf '[%2d s] %s\n' $((SECONDS - started)) "$*"; }
 fail() {
     echo "demo: $*" >&2
     exit 4
 }
-note() { "$standins/note/standin_note" --history="$work/operator.history" --event="$1"; }
+record_event() { "$standins/note/standin_note" --history="$work/operator.history" --event="$1"; }
 
 # start NAME PROGRAM ARGUMENTS...: starts a program in the background; its output goes to files named after it.
 start() {
@@ -92,14 +92,14 @@
   "admin": "127.0.0.1:${admin_ports[$1]}", "platform": "127.0.0.1:$platform_port" }
 EOF
     start "balancer-$1" "$build/src/kingcuptraild/kingcuptraild" --settings "$work/balancer-$1.json"
-    note "{\"event\":\"processStarted\",\"process\":\"balancer-$1\",\"role\":\"balancer\"}"
+    record_event "{\"event\":\"processStarted\",\"process\":\"balancer-$1\",\"role\":\"balancer\"}"
 }
 control() { "$build/src/kingcuptrailctl/kingcuptrailctl" --platform="127.0.0.1:$platform_port" "$@" > "$work/ctl.out" 2>&1; }
 linked_members() { get "${admin_ports[$1]}" /status 2> /dev/null | grep -o '"linked":true' | wc -l; }
 progress() {
     local line
     line="$(cat "$work"/caller-*.history | grep -oE '"event":"(answerWhole|feedItem|flowOpened|flowBroken|flowGivenUp|refusedNotRun|refusedUnknown)"' | sort | uniq -c | awk '{ gsub(/"event":|"/, "", $2); printf "%s %s, ", $2, $1 }')"
-    say "${line%, }"
+    log "${line%, }"
 }
 watch() { # watch SECONDS
     local end=$((SECONDS + $1))
@@ -109,7 +109,7 @@
     done
 }
 
-say "starting 1 platform, 10 upstreams with their agents, 3 balancers, 1 fabric"
+log "starting 1 platform, 10 upstreams with their agents, 3 balancers, 1 fabric"
 start platform "$standins/platform/standin_platform"
 platform_port="$(port_of platform)"
 data_centres=(north centre south)
@@ -148,7 +148,7 @@
 done
 
 load_seconds=33
-say "configuration in force; starting feeds, queries and 2 MB filings"
+log "configuration in force; starting feeds, queries and 2 MB filings"
 start_caller() { # start_caller NAME SERVICE ADDRESS SEED ARGUMENTS...
     local name="$1" service="$2" address="$3" seed="$4"
     shift 4
@@ -159,33 +159,33 @@
 start_caller caller-contractors intake 10.0.0.2:443 12 --flows=30 --filings=120 --filing_bytes=2097152
 
 watch 4
-say "killing balancer-2"
-note '{"event":"processKilled","process":"balancer-2","role":"balancer"}'
+log "killing balancer-2"
+record_event '{"event":"processKilled","process":"balancer-2","role":"balancer"}'
 kill -KILL "${pids[balancer-2]}"
 wait "${pids[balancer-2]}" 2> /dev/null || true
 watch 4
-say "restarting balancer-2"
+log "restarting balancer-2"
 start_balancer 2 centre
 watch 2
-say "draining board-3: sending SIGTERM to its agent"
-note '{"event":"drainBegan","process":"agent-board-3","role":"agent","upstream":"board-3"}'
-note '{"event":"shutdownBegan","process":"agent-board-3","role":"agent","upstream":"board-3"}'
+log "draining board-3: sending SIGTERM to its agent"
+record_event '{"event":"drainBegan","process":"agent-board-3","role":"agent","upstream":"board-3"}'
+record_event '{"event":"shutdownBegan","process":"agent-board-3","role":"agent","upstream":"board-3"}'
 kill -TERM "${pids[agent-board-3]}"
 watch 4
-say "taking data centre south out"
-note '{"event":"operatorTookOut","dataCentre":"south"}'
+log "taking data centre south out"
+record_event '{"event":"operatorTookOut","dataCentre":"south"}'
 control take-out --wait south || fail "take-out: $(cat "$work/ctl.out")"
 watch 8
-say "bringing data centre south back"
+log "bringing data centre south back"
 control bring-back --wait south || fail "bring-back: $(cat "$work/ctl.out")"
-note '{"event":"operatorBroughtBack","dataCentre":"south"}'
+record_event '{"event":"operatorBroughtBack","dataCentre":"south"}'
 for caller in caller-crews caller-contractors; do
     while kill -0 "${pids[$caller]}" 2> /dev/null; do
         sleep 1
         progress
     done
     wait "${pids[$caller]}" || fail "$caller failed"
-    say "$caller: $(tail -n 1 "$work/$caller.out")"
+    log "$caller: $(tail -n 1 "$work/$caller.out")"
     unset "pids[$caller]"
 done
 for tries in $(seq 50); do
@@ -194,12 +194,12 @@
 done
 if wait_code=0 && ! kill -0 "${pids[agent-board-3]}" 2> /dev/null; then
     wait "${pids[agent-board-3]}" || wait_code=$?
-    say "agent-board-3 exited with code $wait_code"
+    log "agent-board-3 exited with code $wait_code"
 else
     fail "agent-board-3 has not exited"
 fi
 
-say "checking the histories"
+log "checking the histories"
 code=0
 "$build/bench/check/kingcuptrail-check" "$work"/*.history > "$work/check.out" || code=$?
 result="$(cat "$work/check.out")"
