--- a/bench/libmodel/admissionmodel.cpp
+++ b/bench/libmodel/admissionmodel.cpp
@@ -48,7 +48,7 @@
             , m_outcomes(static_cast<std::size_t>((options.duration + spanLength - 1) / spanLength))
         {
             for (ModelServer& server : m_servers)
-                server.queue.options = { .waitingPerSlot = options.waitingPerSlot, .longestWait = options.longestWait };
+                server.queue.options = { .waitingPerSlot = options.waitingPerSlot, .maxWait = options.maxWait };
         }
 
         std::vector<AdmissionOutcome> run()
@@ -147,7 +147,7 @@
                 return;
             const std::size_t index = choose();
             ModelServer& server = m_servers[index];
-            const Millis startedAt = now() - leastAgeOf(copies);
+            const Millis startedAt = now() - minOpeningAge(copies);
             ModelCaller& asker = m_callers[caller];
             asker.isAccepted = false;
             ++asker.attempt;
@@ -191,7 +191,7 @@
         void admitWaiting(std::size_t index)
         {
             ModelServer& server = m_servers[index];
-            for (const WaitingOpening& expired : takeExpired(server.queue, now()))
+            for (const WaitingOpening& expired : removeExpired(server.queue, now()))
                 refuse(expired.flow.caller.address);
             while (const WaitingOpening* next = nextOf(server)) {
                 if (!hasRoom(server, *next))
--- a/bench/libmodel/admissionmodel.h
+++ b/bench/libmodel/admissionmodel.h
@@ -59,7 +59,7 @@
     LoadNews news = LoadNews::TimelyWaiting;
     /// Limit of waiting openings for each slot of an agent, and the longest time that one may wait.
     std::uint32_t waitingPerSlot = AdmissionQueueOptions {}.waitingPerSlot;
-    Millis longestWait = AdmissionQueueOptions {}.longestWait;
+    Millis maxWait = AdmissionQueueOptions {}.maxWait;
     /// Limit of admitted openings and requests for each slot of an upstream while timely openings wait.
     double workPerSlot = 2.0;
     /// Fraction of the latency target after which a waiting opening counts as late.
--- a/bench/libmodel/modelagent.cpp
+++ b/bench/libmodel/modelagent.cpp
@@ -143,9 +143,9 @@
 /// After a pause of the process its knowledge of the upstream is outdated, so the warm-up starts again.
 void ModelAgent::noteRuns()
 {
-    const Millis held = m_pause.holdUntil;
-    noteRunning(m_pause, m_context.policy.pause, m_context.loop.nowMillis());
-    if (m_pause.holdUntil != held)
+    const Millis held = m_pause.dropUntil;
+    recordRun(m_pause, m_context.policy.pause, m_context.loop.nowMillis());
+    if (m_pause.dropUntil != held)
         restartCold(m_admission, m_context.loop.nowMillis());
 }
 
@@ -160,7 +160,7 @@
     LinkState& link = m_balancers[from.index];
     link.heardAt = now;
     if (auto* packet = std::get_if<FlowPacket>(&message)) {
-        if (!holdsPackets(m_pause, now))
+        if (!isDroppingPackets(m_pause, now))
             receivePacket(from.index, std::move(*packet));
     } else if (const auto* config = std::get_if<ConfigMessage>(&message)) {
         link.configVersion = std::max(link.configVersion, config->version);
--- a/bench/libmodel/modelagent.h
+++ b/bench/libmodel/modelagent.h
@@ -5,7 +5,7 @@
 #include "libdecision/closedflows.h"
 #include "libdecision/drain.h"
 #include "libdecision/ledger.h"
-#include "libdecision/pausewatch.h"
+#include "libdecision/pausedetector.h"
 #include "libdecision/redirects.h"
 #include "modelcontext.h"
 #include "modelstore.h"
@@ -151,7 +151,7 @@
     Ledger m_ledger;
     Redirects m_redirects;
     ClosedFlows m_closedFlows;
-    PauseWatch m_pause;
+    PauseDetector m_pause;
     std::map<FlowId, Flow> m_flows;
     std::map<RequestId, Work> m_work;
     std::map<UpstreamId, RedirectMessage> m_redirectsToSend;
--- a/bench/libmodel/modelagentwork.cpp
+++ b/bench/libmodel/modelagentwork.cpp
@@ -135,8 +135,8 @@
 void ModelAgent::startNext()
 {
     const Millis now = m_context.loop.nowMillis();
-    if (holdsPackets(m_pause, now))
-        return later(toMicros(m_pause.holdUntil - now), [this] { startNext(); });
+    if (isDroppingPackets(m_pause, now))
+        return later(toMicros(m_pause.dropUntil - now), [this] { startNext(); });
     for (const ExpiredItem& expired : takeExpired(m_admission, admissionOptions(), now))
         refuse(m_work.at(expired.item.id), expired.refusal, LedgerState::NotRun);
     for (const WorkItem& item : takeRunnable(m_admission, admissionOptions(), now))
--- a/bench/libmodel/modelbalancer.h
+++ b/bench/libmodel/modelbalancer.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "libdecision/lease.h"
-#include "libdecision/pausewatch.h"
+#include "libdecision/pausedetector.h"
 #include "libdecision/routing.h"
 #include "modelcontext.h"
 #include "modelstore.h"
@@ -67,7 +67,7 @@
     std::vector<std::size_t> m_firstOfService;
     MemberIndex m_memberIndex;
     ConfigMessage m_config;
-    PauseWatch m_pause;
+    PauseDetector m_pause;
     PlaceOptions m_placing;
     std::uint64_t m_life = 0;
 };
--- a/bench/libmodel/policy.h
+++ b/bench/libmodel/policy.h
@@ -8,7 +8,7 @@
 #include "libdecision/enumnames.h"
 #include "libdecision/forwarding.h"
 #include "libdecision/ledger.h"
-#include "libdecision/pausewatch.h"
+#include "libdecision/pausedetector.h"
 #include "libdecision/placing.h"
 #include "libdecision/redirects.h"
 
@@ -86,7 +86,7 @@
     ForwardingOptions forwarding;
     ConfigOrderOptions configOrder;
     ClosedFlowOptions closedFlows;
-    PauseOptions pause;
+    PauseDetectorOptions pause;
     DrainOptions drain;
     /// For tests only: if false, agents in a data centre that was taken out of service continue, and balancers continue to use
     /// them.
--- a/bench/libmodel/seededhistory.cpp
+++ b/bench/libmodel/seededhistory.cpp
@@ -13,7 +13,7 @@
     /// Failures end about this long before the end of the run, so that effects with a bound of several seconds can be observed.
     constexpr Millis quietEnd = 6000;
     /// Less than the link silence of the generated deployments.
-    constexpr Millis longestGap = 500;
+    constexpr Millis maxGap = 500;
     /// Minimum duration of a failure: the shortest time in which an upstream restarts or a data centre is taken out and returned.
     constexpr Millis shortestFailure = 300;
     constexpr std::size_t fewestFailures = 3;
@@ -139,7 +139,7 @@
 SeededHistory runSeededHistory(std::uint64_t seed, GuardOff guard)
 {
     PolicyOptions policy = withoutGuard(guard);
-    policy.pause.longestGap = longestGap;
+    policy.pause.maxGap = maxGap;
     Simulation simulation(drawExperiment(seed), policy, true);
     simulation.run();
     const auto& events = simulation.history().events();
--- a/src/kingcuptrailctl/explanations.cpp
+++ b/src/kingcuptrailctl/explanations.cpp
@@ -92,7 +92,7 @@
         { "The platform rejected the write.", "Check whether the configuration exceeds the platform's size limit." },
     } };
 
-    constexpr Table<OpenRefusal> openings { {
+    constexpr Table<OpeningRefusal> openings { {
         { "No refusal.", nothing },
         { "The agent has no recent report that its upstream is alive.", "Check the upstream's process; reportAge in the agent's log lines is the age of its last report." },
         { "The upstream is draining.", "Nothing during a planned drain." },
@@ -162,7 +162,7 @@
     return entryOf(refusals, reason);
 }
 
-Explanation explanationOf(OpenRefusal refusal)
+Explanation explanationOf(OpeningRefusal refusal)
 {
     return entryOf(openings, refusal);
 }
@@ -197,7 +197,7 @@
     std::vector<FoundExplanation> found;
     findEvent(codeOrName, found);
     findIn<RefusalReason>(codeOrName, "refusal", found);
-    findIn<OpenRefusal>(codeOrName, "opening", found);
+    findIn<OpeningRefusal>(codeOrName, "opening", found);
     findIn<LinkError>(codeOrName, "link", found);
     findIn<PlatformError>(codeOrName, "platform", found);
     findIn<ApplyError>(codeOrName, "apply", found);
--- a/src/kingcuptrailctl/explanations.h
+++ b/src/kingcuptrailctl/explanations.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "libdecision/opengate.h"
+#include "libdecision/flowadmission.h"
 #include "libdecision/refusal.h"
 #include "libhttp/http.h"
 #include "libplatform/configapply.h"
@@ -21,7 +21,7 @@
 };
 
 Explanation explanationOf(RefusalReason reason);
-Explanation explanationOf(OpenRefusal refusal);
+Explanation explanationOf(OpeningRefusal refusal);
 Explanation explanationOf(LinkError error);
 Explanation explanationOf(PlatformError error);
 Explanation explanationOf(HttpError error);
--- a/src/kingcuptraild/agent/agent.cpp
+++ b/src/kingcuptraild/agent/agent.cpp
@@ -136,13 +136,13 @@
 bool Agent::isHeld()
 {
     const Millis now = m_role.clock.now();
-    const Millis heldBefore = m_pause.holdUntil;
-    noteRunning(m_pause, {}, now);
-    if (m_pause.holdUntil != heldBefore) {
+    const Millis heldBefore = m_pause.dropUntil;
+    recordRun(m_pause, {}, now);
+    if (m_pause.dropUntil != heldBefore) {
         m_requests.refuseWaiting(RefusalReason::ExpectedWaitTooLong);
         m_requests.restartCold();
     }
-    return holdsPackets(m_pause, now);
+    return isDroppingPackets(m_pause, now);
 }
 
 void Agent::handleAnnounced(const Presence& presence)
--- a/src/kingcuptraild/agent/agent.h
+++ b/src/kingcuptraild/agent/agent.h
@@ -5,7 +5,7 @@
 #include "kingcuptraild/rolecontext.h"
 #include "kingcuptraild/troublelog.h"
 #include "libdecision/configorder.h"
-#include "libdecision/pausewatch.h"
+#include "libdecision/pausedetector.h"
 #include "libdecision/reachability.h"
 #include "libplatform/announcer.h"
 #include "requestscheduler.h"
@@ -66,7 +66,7 @@
     std::function<void()> m_onDrained;
     Reachability m_reachability;
     EnumCounters<LinkError> m_closedLinks;
-    PauseWatch m_pause;
+    PauseDetector m_pause;
     TroubleLog m_trouble;
     /// Version of the configuration that brought this data centre back, until every linked balancer uses it; otherwise 0.
     ConfigVersion m_returnVersion = 0;
--- a/src/kingcuptraild/balancer/balancer.cpp
+++ b/src/kingcuptraild/balancer/balancer.cpp
@@ -334,7 +334,7 @@
 // end of a pause.
 void Balancer::noteRunningRegularly()
 {
-    noteRunning(m_pause, {}, m_role.clock.now());
+    recordRun(m_pause, {}, m_role.clock.now());
     if (m_presence)
         m_trouble.note(m_presence->lastReason());
     m_runningTimer.expires_after(std::chrono::milliseconds(runningInterval));
@@ -347,8 +347,8 @@
 bool Balancer::isHeld()
 {
     const Millis now = m_role.clock.now();
-    noteRunning(m_pause, {}, now);
-    return holdsPackets(m_pause, now);
+    recordRun(m_pause, {}, now);
+    return isDroppingPackets(m_pause, now);
 }
 
 bool Balancer::isOwnDataCentreOut() const
--- a/src/kingcuptraild/balancer/balancer.h
+++ b/src/kingcuptraild/balancer/balancer.h
@@ -4,7 +4,7 @@
 #include "kingcuptraild/rolecontext.h"
 #include "kingcuptraild/troublelog.h"
 #include "kingcuptraild/watchers.h"
-#include "libdecision/pausewatch.h"
+#include "libdecision/pausedetector.h"
 #include "libdecision/placing.h"
 #include "libdecision/refusal.h"
 #include "libdecision/routing.h"
@@ -92,7 +92,7 @@
     TroubleLog m_trouble;
     asio::steady_timer m_leaveTimer;
     asio::steady_timer m_runningTimer;
-    PauseWatch m_pause;
+    PauseDetector m_pause;
     PlaceOptions m_placeOptions;
     EnumCounters<PacketRoute> m_routes;
     EnumCounters<RefusalReason> m_resets;
--- a/src/kingcuptraild/packets/agentstate.h
+++ b/src/kingcuptraild/packets/agentstate.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "libdecision/agentflows.h"
-#include "libdecision/opengate.h"
+#include "libdecision/flowadmission.h"
 #include "libdecision/upstreamhealth.h"
 #include "libruntime/metrics.h"
 #include "packetrolestate.h"
@@ -30,7 +30,7 @@
     using PacketRoleState::PacketRoleState;
 
     AgentFlows flows;
-    OpenGate gate;
+    FlowAdmission gate;
     UpstreamHealth health;
     /// The directory entry that this agent announces.
     PeerEntry self;
@@ -43,7 +43,7 @@
     std::vector<std::uint32_t> senders;
     std::vector<std::uint8_t> scratch;
     EnumCounters<AgentPacketFate> fates;
-    EnumCounters<OpenRefusal> refusals;
+    EnumCounters<OpeningRefusal> refusals;
 };
 
 /// Sends an answer that also carries this agent's load and configuration version.
--- a/src/kingcuptraild/packets/balancerstate.h
+++ b/src/kingcuptraild/packets/balancerstate.h
@@ -2,7 +2,7 @@
 
 #include "flowholders.h"
 #include "libdecision/agentchoice.h"
-#include "libdecision/silentagents.h"
+#include "libdecision/unresponsiveagents.h"
 #include "libruntime/metrics.h"
 #include "packetrolestate.h"
 
@@ -44,12 +44,12 @@
 
     /// The last known load of each agent, by the agent's address.
     std::unordered_map<std::uint32_t, AgentLoad> loads;
-    SilentAgents silent;
+    UnresponsiveAgents silent;
     /// Cache of the agent that holds each flow.
     std::unordered_map<FlowKey, Holder> holders;
     EnumCounters<PacketFate> fates;
     EnumCounters<ResetReason> resets;
-    EnumCounters<OpenRefusal> refusals;
+    EnumCounters<OpeningRefusal> refusals;
 };
 
 /// Sends a reset for a flow to its caller. `sequence` must be near the number that the caller last acknowledged; for an
--- a/src/kingcuptraild/packets/connectionadmission.cpp
+++ b/src/kingcuptraild/packets/connectionadmission.cpp
@@ -32,32 +32,32 @@
         admit(message.flow, message.packet, sender, 0);
         return;
     }
-    if (takeCopy(m_queue, message.flow, now)) {
+    if (recordCopy(m_queue, message.flow, now)) {
         reply(m_state, sender, { .kind = wire::PeerKind::Admitted, .flow = message.flow });
         return;
     }
-    const OpenRefusal refusal = decide(message.flow, message.configVersion, message.needsFreeSlot, now);
-    if (refusal == OpenRefusal::None)
+    const OpeningRefusal refusal = decide(message.flow, message.configVersion, message.needsFreeSlot, now);
+    if (refusal == OpeningRefusal::None)
         admit(message.flow, message.packet, sender, 0);
-    else if (refusal == OpenRefusal::Busy && !message.needsFreeSlot)
+    else if (refusal == OpeningRefusal::Busy && !message.needsFreeSlot)
         letWait(message, sender, head->acknowledged);
     else
         refuse(message.flow, message.packet, sender, refusal);
 }
 
-OpenRefusal ConnectionAdmission::decide(const FlowKey& flow, ConfigVersion balancerVersion, bool needsFreeSlot, Millis now)
+OpeningRefusal ConnectionAdmission::decide(const FlowKey& flow, ConfigVersion balancerVersion, bool needsFreeSlot, Millis now)
 {
-    m_state.gate.isViewInDoubt = m_state.network.isInDoubt();
-    const OpenAttempt attempt {
+    m_state.gate.mayViewBeStale = m_state.network.isInDoubt();
+    const OpeningRequest attempt {
         .address = flow.service,
         .balancerVersion = balancerVersion,
         .openFlows = m_state.flows.open,
         .atWork = m_state.flows.atWork,
         .needsFreeSlot = needsFreeSlot,
     };
-    const OpenRefusal refusal = decideOpen(m_state.gate, m_state.network.routes(), m_state.network.outages(), attempt, now);
-    if (refusal == OpenRefusal::None && !mayOpen(m_state.health, now))
-        return OpenRefusal::UpstreamFailing;
+    const OpeningRefusal refusal = decideOpening(m_state.gate, m_state.network.routes(), m_state.network.outages(), attempt, now);
+    if (refusal == OpeningRefusal::None && !acceptsOpening(m_state.health, now))
+        return OpeningRefusal::UpstreamFailing;
     return refusal;
 }
 
@@ -66,7 +66,7 @@
     const Millis now = m_state.role.clock.now();
     logFlowEvent(Event::FlowAdmitted, flow, { { "upstream", m_state.gate.upstream->id }, { "atWork", m_state.flows.atWork }, { "open", m_state.flows.open }, { "waited", static_cast<std::uint64_t>(waited) }, { "reportAge", static_cast<std::uint64_t>(now - m_state.gate.reportedAt) }, { "version", m_state.network.routes().version }, { "outages", m_state.network.outages().revision } });
     beginFlow(m_state.flows, flow, now);
-    noteOpening(m_state.health, now);
+    recordOpening(m_state.health, now);
     deliver(m_state, packet, indexOf(m_state, balancer));
     m_state.fates.increment(AgentPacketFate::Delivered);
     m_waits.record(static_cast<double>(waited));
@@ -76,7 +76,7 @@
 void ConnectionAdmission::letWait(const PeerMessage& message, std::uint32_t sender, std::uint32_t copies)
 {
     const Millis now = m_state.role.clock.now();
-    const Millis startedAt = now - leastAgeOf(copies);
+    const Millis startedAt = now - minOpeningAge(copies);
     const FlowRoute* route = findRoute(m_state.network.routes(), message.flow.service);
     WaitingOpening opening {
         .flow = message.flow,
@@ -90,7 +90,7 @@
     const bool isQueued = enqueue(m_queue, std::move(opening), m_state.gate.upstream->slots);
     noteWaiting();
     if (!isQueued) {
-        refuse(message.flow, message.packet, sender, OpenRefusal::Busy);
+        refuse(message.flow, message.packet, sender, OpeningRefusal::Busy);
         return;
     }
     reply(m_state, sender, { .kind = wire::PeerKind::Admitted, .flow = message.flow });
@@ -119,26 +119,26 @@
         return;
     const Millis now = m_state.role.clock.now();
     expireWork(m_state.flows, now);
-    const std::vector<WaitingOpening> overdue = takeExpired(m_queue, now);
+    const std::vector<WaitingOpening> overdue = removeExpired(m_queue, now);
     noteWaiting();
     for (const WaitingOpening& expired : overdue)
-        refuse(expired.flow, expired.packet, expired.balancer, OpenRefusal::WaitedTooLong);
+        refuse(expired.flow, expired.packet, expired.balancer, OpeningRefusal::WaitedTooLong);
     while (const WaitingOpening* next = peekNext(m_queue, now)) {
         // An opening that will miss its latency target anyway gets an idle slot only: queued at the upstream, it would delay
         // openings that can still meet theirs.
-        const OpenRefusal refusal = decide(next->flow, 0, !isTimely(*next, now), now);
-        if (refusal == OpenRefusal::Busy)
+        const OpeningRefusal refusal = decide(next->flow, 0, !isTimely(*next, now), now);
+        if (refusal == OpeningRefusal::Busy)
             return;
-        const auto taken = takeNext(m_queue, now);
+        const auto taken = popNext(m_queue, now);
         noteWaiting();
-        if (refusal == OpenRefusal::None)
+        if (refusal == OpeningRefusal::None)
             admit(taken->flow, taken->packet, taken->balancer, now - taken->arrivedAt);
         else
             refuse(taken->flow, taken->packet, taken->balancer, refusal);
     }
 }
 
-void ConnectionAdmission::refuse(const FlowKey& flow, std::span<const std::uint8_t> packet, std::uint32_t balancer, OpenRefusal refusal)
+void ConnectionAdmission::refuse(const FlowKey& flow, std::span<const std::uint8_t> packet, std::uint32_t balancer, OpeningRefusal refusal)
 {
     m_state.refusals.increment(refusal);
     m_state.fates.increment(AgentPacketFate::Refused);
--- a/src/kingcuptraild/packets/connectionadmission.h
+++ b/src/kingcuptraild/packets/connectionadmission.h
@@ -15,12 +15,12 @@
     void open(const PeerMessage& message, std::uint32_t sender);
     /// Refuses queued openings whose wait has expired, and admits others while the upstream has room.
     void admitWaiting();
-    void refuse(const FlowKey& flow, std::span<const std::uint8_t> packet, std::uint32_t balancer, OpenRefusal refusal);
+    void refuse(const FlowKey& flow, std::span<const std::uint8_t> packet, std::uint32_t balancer, OpeningRefusal refusal);
 
     void exposeMetrics(std::string& out) const;
 
 private:
-    OpenRefusal decide(const FlowKey& flow, ConfigVersion balancerVersion, bool needsFreeSlot, Millis now);
+    OpeningRefusal decide(const FlowKey& flow, ConfigVersion balancerVersion, bool needsFreeSlot, Millis now);
     void admit(const FlowKey& flow, std::span<const std::uint8_t> packet, std::uint32_t balancer, Millis waited);
     void letWait(const PeerMessage& message, std::uint32_t sender, std::uint32_t copies);
     void startQueueTimer();
--- a/src/kingcuptraild/packets/connectiondispatcher.cpp
+++ b/src/kingcuptraild/packets/connectiondispatcher.cpp
@@ -52,7 +52,7 @@
     opening.packet = copyOf(packet);
     if (!isNew)
         return;
-    opening.startedAt = now - leastAgeOf(copies);
+    opening.startedAt = now - minOpeningAge(copies);
     offerToNext(flow, opening);
 }
 
@@ -76,7 +76,7 @@
     const auto next = std::ranges::find_if(order, [&](std::uint32_t agent) { return std::ranges::find(opening.tried, agent) == opening.tried.end(); });
     // The directory of a process that has just started may be incomplete.
     const bool isNew = now - m_state.startedAt < learningTime;
-    if (next == order.end() && (opening.mayTryAgain || isNew) && now - opening.startedAt < longestOpeningWait()) {
+    if (next == order.end() && (opening.mayTryAgain || isNew) && now - opening.startedAt < maxOpeningWait()) {
         opening.tried.clear();
         opening.mayTryAgain = false;
         return;
@@ -94,7 +94,7 @@
 void ConnectionDispatcher::offerTo(std::uint32_t agent, const FlowKey& flow, Opening& opening)
 {
     opening.agent = agent;
-    ++m_state.loads[agent].sentSince;
+    ++m_state.loads[agent].sentSinceReport;
     m_state.network.send(agent, { .kind = wire::PeerKind::Open, .flow = flow, .configVersion = m_state.network.routes().version, .needsFreeSlot = needsFreeSlot(m_busyAgents, opening.busyAgents), .packet = opening.packet });
     m_state.fates.increment(PacketFate::Offered);
 }
@@ -124,7 +124,7 @@
 {
     std::vector<AgentCandidate> candidates;
     for (const PeerEntry* entry : readyAgentsOf(m_state.network.directory(), service)) {
-        if (isOut(m_state.network.outages(), entry->dataCentre))
+        if (isDataCentreOut(m_state.network.outages(), entry->dataCentre))
             continue;
         AgentCandidate candidate { .address = entry->address, .isNear = entry->dataCentre == m_state.role.settings.dataCentre, .load = {} };
         if (const auto load = m_state.loads.find(entry->address); load != m_state.loads.end())
@@ -143,7 +143,7 @@
     if (opening != m_openings.end()) {
         m_openingTimes.record(static_cast<double>(now - opening->second.startedAt));
         if (opening->second.busyAgents == 0)
-            noteSlotQuestion(m_busyAgents, false);
+            recordSlotOffer(m_busyAgents, false);
         m_openings.erase(opening);
         m_state.holders[message.flow] = { .agent = sender, .usedAt = now };
         return;
@@ -159,7 +159,7 @@
         m_state.holders.erase(holder);
     auto opening = m_openings.find(message.flow);
     // A refusal that comes after the opening has ended is from an agent that was paused, and the caller has moved on.
-    if (opening == m_openings.end() && message.refusal != OpenRefusal::Returned && message.refusal != OpenRefusal::WaitedTooLong)
+    if (opening == m_openings.end() && message.refusal != OpeningRefusal::Returned && message.refusal != OpeningRefusal::WaitedTooLong)
         return;
     if (opening == m_openings.end()) {
         // The agent had admitted the opening; since then its upstream has returned the packet, or its time in the agent's
@@ -171,16 +171,16 @@
         opening->second.agent = sender;
     }
     opening->second.lastRefusal = message.refusal;
-    if (message.refusal == OpenRefusal::WaitedTooLong) {
+    if (message.refusal == OpeningRefusal::WaitedTooLong) {
         finishRefused(message.flow, opening->second, ResetReason::RefusedByAll);
         return;
     }
-    if (message.refusal == OpenRefusal::Busy) {
+    if (message.refusal == OpeningRefusal::Busy) {
         handleBusy(message.flow, opening->second, sender);
         return;
     }
     m_state.loads[sender].refusesUntil = m_state.role.clock.now() + refusalTime;
-    opening->second.mayTryAgain = opening->second.mayTryAgain || isPassing(message.refusal);
+    opening->second.mayTryAgain = opening->second.mayTryAgain || isTransient(message.refusal);
     if (opening->second.agent == sender)
         offerToNext(message.flow, opening->second);
 }
@@ -189,17 +189,17 @@
 void ConnectionDispatcher::handleBusy(const FlowKey& flow, Opening& opening, std::uint32_t sender)
 {
     ++opening.busyAgents;
-    noteSlotQuestion(m_busyAgents, true);
+    recordSlotOffer(m_busyAgents, true);
     opening.mayTryAgain = true;
-    switch (stepAfterBusy(m_busyAgents, opening.busyAgents, opening.tried.size())) {
-    case BusyStep::WaitAtLeastLoaded:
+    switch (nextOfferStep(m_busyAgents, opening.busyAgents, opening.tried.size())) {
+    case OfferStep::WaitAtLeastLoaded:
         offerToWait(flow, opening);
         break;
-    case BusyStep::Refuse:
+    case OfferStep::Refuse:
         finishRefused(flow, opening, ResetReason::RefusedByAll);
         break;
-    case BusyStep::AskNext:
-    case BusyStep::AskNextToWait:
+    case OfferStep::AskNext:
+    case OfferStep::AskNextToWait:
         if (opening.agent == sender)
             offerToNext(flow, opening);
         break;
@@ -220,7 +220,7 @@
         late.resize(offersInTurn);
     for (const FlowKey& flow : late) {
         Opening& opening = m_openings.at(flow);
-        if (now - opening.startedAt > longestOpeningWait()) {
+        if (now - opening.startedAt > maxOpeningWait()) {
             finishRefused(flow, opening, ResetReason::NoAgent);
             continue;
         }
--- a/src/kingcuptraild/packets/connectiondispatcher.h
+++ b/src/kingcuptraild/packets/connectiondispatcher.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "balancerstate.h"
-#include "libdecision/busyagents.h"
+#include "libdecision/offerpolicy.h"
 
 namespace kingcuptrail {
 
@@ -32,7 +32,7 @@
 
     BalancerState& m_state;
     AgentChoiceOptions m_choice;
-    BusyAgents m_busyAgents;
+    OfferPolicy m_busyAgents;
     std::unordered_map<FlowKey, Opening> m_openings;
     LatencyHistogram m_openingTimes;
 };
--- a/src/kingcuptraild/packets/flowholders.h
+++ b/src/kingcuptraild/packets/flowholders.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "libdecision/opengate.h"
+#include "libdecision/flowadmission.h"
 #include "libdecision/probeplan.h"
 
 #include <string>
@@ -20,7 +20,7 @@
     Millis startedAt = 0;
     Millis offeredAt = 0;
     /// The reason of the last refusal.
-    OpenRefusal lastRefusal = OpenRefusal::None;
+    OpeningRefusal lastRefusal = OpeningRefusal::None;
     /// Agents that refused the opening because they had no room.
     std::uint32_t busyAgents = 0;
     /// At least one agent refused for a transient reason.
@@ -47,7 +47,7 @@
     /// Questions to delegates that are still unanswered.
     std::vector<Speaker> speakers;
     /// All agents that were asked, directly or through another agent.
-    AgentsByCentre asked;
+    AgentsByDataCentre asked;
     /// Decides which of the unsure agents are probed with the first packet, and when.
     ProbePlan plan;
     /// The time for answers has passed once, and agents that had not answered by then are treated as unsure.
--- a/src/kingcuptraild/packets/holderfinder.cpp
+++ b/src/kingcuptraild/packets/holderfinder.cpp
@@ -38,7 +38,7 @@
 
 // A flow is missing from the cache when another balancer opened it, or when this process started after it was opened. All
 // agents of the service are asked; the holder answers within a round trip and gets the packet.
-void HolderFinder::search(const FlowKey& flow, const PacketHead& head, std::span<const std::uint8_t> packet)
+void HolderFinder::search(const FlowKey& flow, const PacketHeader& head, std::span<const std::uint8_t> packet)
 {
     if (m_searches.size() >= maxSearches) {
         m_state.fates.increment(PacketFate::SearchFull);
@@ -58,7 +58,7 @@
 
 void HolderFinder::begin(const FlowKey& flow, WaitingSearch& waiting)
 {
-    const AgentsByCentre agents = holdersToAsk(serviceForFlow(m_state.network.routes(), flow));
+    const AgentsByDataCentre agents = holdersToAsk(serviceForFlow(m_state.network.routes(), flow));
     waiting.search = beginSearch(addressesOf(agents), m_state.role.clock.now());
     ask(flow, waiting, agents);
 }
@@ -78,12 +78,12 @@
     }
 }
 
-AgentsByCentre HolderFinder::possibleHolders(const std::string* service) const
+AgentsByDataCentre HolderFinder::possibleHolders(const std::string* service) const
 {
-    AgentsByCentre agents;
+    AgentsByDataCentre agents;
     const Millis now = m_state.role.clock.now();
     for (const auto& [name, entry] : m_state.network.directory().entries) {
-        const bool mayHold = mayHoldFlows(entry) && !isGivenUp(m_state.silent, entry.address, now);
+        const bool mayHold = mayHoldFlows(entry) && !isPresumedGone(m_state.silent, entry.address, now);
         if (mayHold && (!service || entry.service == *service))
             agents[entry.dataCentre].push_back(entry.address);
     }
@@ -92,22 +92,22 @@
 
 // A delegate answers for the agents of all services in its data centre, so the list of a data centre that is large enough
 // for a delegate holds all of its agents.
-AgentsByCentre HolderFinder::holdersToAsk(const std::string* service) const
+AgentsByDataCentre HolderFinder::holdersToAsk(const std::string* service) const
 {
-    AgentsByCentre agents = possibleHolders(service);
-    AgentsByCentre everybody = possibleHolders(nullptr);
+    AgentsByDataCentre agents = possibleHolders(service);
+    AgentsByDataCentre everybody = possibleHolders(nullptr);
     for (auto& [dataCentre, members] : agents) {
-        if (members.size() >= ProbePlanOptions {}.fewestForOne)
+        if (members.size() >= ProbePlanOptions {}.minAgentsForForwarding)
             members = std::move(everybody.at(dataCentre));
     }
     return agents;
 }
 
 // In a data centre with enough agents the delegate is asked; in the others each agent is asked directly.
-void HolderFinder::ask(const FlowKey& flow, WaitingSearch& waiting, const AgentsByCentre& agents)
+void HolderFinder::ask(const FlowKey& flow, WaitingSearch& waiting, const AgentsByDataCentre& agents)
 {
     for (const auto& [dataCentre, members] : agents) {
-        if (members.size() < waiting.plan.options.fewestForOne)
+        if (members.size() < waiting.plan.options.minAgentsForForwarding)
             askDirectly(flow, waiting, members);
         else
             askSpeaker(flow, waiting, dataCentre, members, {});
@@ -123,7 +123,7 @@
     std::vector<std::uint32_t> agents;
     for (const auto& [address, since] : m_state.silent.silentSince) {
         const PeerEntry* entry = findByAddress(m_state.network.directory(), address);
-        if (entry && entry->dataCentre == dataCentre && isGivenUp(m_state.silent, address, m_state.role.clock.now()))
+        if (entry && entry->dataCentre == dataCentre && isPresumedGone(m_state.silent, address, m_state.role.clock.now()))
             agents.push_back(address);
     }
     return agents;
@@ -161,7 +161,7 @@
         return;
     WaitingSearch& waiting = found->second;
     if (message.kind == wire::PeerKind::HeldNear) {
-        settleSearch(message.flow, takeAnswer(waiting.search, message.holder, HolderAnswer::Held));
+        settleSearch(message.flow, recordAnswer(waiting.search, message.holder, HolderAnswer::Held));
         return;
     }
     const auto speaker = std::ranges::find(waiting.speakers, sender, &Speaker::address);
@@ -175,7 +175,7 @@
     }
     SearchState state = SearchState::Asking;
     for (const std::uint32_t member : members)
-        state = takeAnswer(waiting.search, member, HolderAnswer::NotHeld);
+        state = recordAnswer(waiting.search, member, HolderAnswer::NotHeld);
     if (state == SearchState::Asking)
         probe(message.flow, waiting, false);
     settleSearch(message.flow, state);
@@ -185,17 +185,17 @@
 // so that they have to deny the flow as well.
 void HolderFinder::takeNearUnsure(const PeerMessage& message, WaitingSearch& waiting, std::span<const std::uint32_t> members)
 {
-    const NearAnswer answer = sortNearAnswer(waiting.search, members, message.denied, message.excluded);
-    askMissing(waiting.search, message.excluded);
+    const DelegatedAnswer answer = classifyDelegatedAnswer(waiting.search, members, message.denied, message.excluded);
+    addMissingAgents(waiting.search, message.excluded);
     SearchState state = SearchState::Asking;
     for (const std::uint32_t agent : answer.denied)
-        state = takeAnswer(waiting.search, agent, HolderAnswer::NotHeld);
+        state = recordAnswer(waiting.search, agent, HolderAnswer::NotHeld);
     if (state == SearchState::HeldByNobody) {
         settleSearch(message.flow, state);
         return;
     }
-    if (answer.unheard.size() < waiting.plan.options.fewestForOne) {
-        askDirectly(message.flow, waiting, answer.unheard);
+    if (answer.unknown.size() < waiting.plan.options.minAgentsForForwarding) {
+        askDirectly(message.flow, waiting, answer.unknown);
         takeUnsure(message.flow, waiting, answer.open);
         return;
     }
@@ -211,8 +211,8 @@
         const PeerEntry* entry = findByAddress(m_state.network.directory(), agent);
         if (!entry)
             continue;
-        takeAnswer(waiting.search, agent, HolderAnswer::Unsure);
-        addUnsure(waiting.plan, { .address = agent, .dataCentre = entry->dataCentre, .isOfService = service && entry->service == *service });
+        recordAnswer(waiting.search, agent, HolderAnswer::Unsure);
+        addUnsureAgent(waiting.plan, { .address = agent, .dataCentre = entry->dataCentre, .isOfService = service && entry->service == *service });
     }
     probe(flow, waiting, false);
 }
@@ -221,12 +221,12 @@
 void HolderFinder::probe(const FlowKey& flow, WaitingSearch& waiting, bool isNearOverdue)
 {
     const PacketBytes& packet = waiting.packets.front();
-    for (const ProbeGroup& group : takeProbes(waiting.plan, waiting.search, waiting.asked, isNearOverdue)) {
-        if (group.isThroughOne)
+    for (const ProbeGroup& group : nextProbes(waiting.plan, waiting.search, waiting.asked, isNearOverdue)) {
+        if (group.isForwarded)
             askSpeaker(flow, waiting, group.dataCentre, group.members, packet);
         else
             m_state.network.sendToAll(group.members, { .kind = wire::PeerKind::Probe, .flow = flow, .configVersion = m_state.network.routes().version, .packet = packet });
-        m_state.fates.increment(PacketFate::Probed, group.isThroughOne ? 1 : group.members.size());
+        m_state.fates.increment(PacketFate::Probed, group.isForwarded ? 1 : group.members.size());
     }
 }
 
@@ -279,10 +279,10 @@
     }
     // The route may have moved to another service since the flow was opened, and the directory may have grown since the search
     // began. The flow is lost only when every agent that is known now has denied it.
-    const AgentsByCentre known = possibleHolders(nullptr);
-    if (const auto missing = askMissing(waiting.search, addressesOf(known)); !missing.empty()) {
+    const AgentsByDataCentre known = possibleHolders(nullptr);
+    if (const auto missing = addMissingAgents(waiting.search, addressesOf(known)); !missing.empty()) {
         waiting.search.startedAt = m_state.role.clock.now();
-        ask(flow, waiting, amongThese(known, missing));
+        ask(flow, waiting, filterAgents(known, missing));
         return;
     }
     // The periodic check repeats this until a peer has confirmed the directory.
@@ -342,7 +342,7 @@
     }
     if (found == m_searches.end())
         return;
-    const SearchState state = takeAnswer(found->second.search, sender, answer);
+    const SearchState state = recordAnswer(found->second.search, sender, answer);
     if (state == SearchState::Asking) {
         const std::array<std::uint32_t, 1> one { sender };
         if (answer == HolderAnswer::Unsure)
@@ -371,9 +371,9 @@
 // record.
 void HolderFinder::endUncertain(const FlowKey& flow, const HolderSearch& search, Millis now)
 {
-    const std::vector<std::uint32_t> unanswered = unansweredIn(search);
+    const std::vector<std::uint32_t> unanswered = agentsWithoutDenial(search);
     for (const std::uint32_t agent : unanswered)
-        noteUnanswered(m_state.silent, agent, search.startedAt);
+        recordUnanswered(m_state.silent, agent, search.startedAt);
     m_searchEnds.increment(SearchState::Asking);
     const std::uint32_t waitsFor = unanswered.empty() ? 0 : unanswered.front();
     logFlowEvent(Event::SearchUncertain, flow, { { "silent", search.awaited.size() }, { "unsure", search.unsure.size() }, { "waitsFor", addressText(waitsFor) }, { "directoryConfirmed", canBeCertain() ? "yes" : "no" }, { "milliseconds", static_cast<std::uint64_t>(now - search.startedAt) } });
--- a/src/kingcuptraild/packets/holderfinder.h
+++ b/src/kingcuptraild/packets/holderfinder.h
@@ -11,7 +11,7 @@
     explicit HolderFinder(BalancerState& state);
 
     /// Starts a search for the holder of a packet's flow, or adds the packet to the search that is already running.
-    void search(const FlowKey& flow, const PacketHead& head, std::span<const std::uint8_t> packet);
+    void search(const FlowKey& flow, const PacketHeader& head, std::span<const std::uint8_t> packet);
     /// Handle an agent's answer for itself, and a delegate's answer for all agents of its data centre.
     void handleHolderAnswer(const PeerMessage& message, std::uint32_t sender);
     void handleNearAnswer(const PeerMessage& message, std::uint32_t sender);
@@ -21,11 +21,11 @@
     void exposeMetrics(std::string& out) const;
 
 private:
-    AgentsByCentre possibleHolders(const std::string* service) const;
-    AgentsByCentre holdersToAsk(const std::string* service) const;
+    AgentsByDataCentre possibleHolders(const std::string* service) const;
+    AgentsByDataCentre holdersToAsk(const std::string* service) const;
     void begin(const FlowKey& flow, WaitingSearch& waiting);
     void beginLate();
-    void ask(const FlowKey& flow, WaitingSearch& waiting, const AgentsByCentre& agents);
+    void ask(const FlowKey& flow, WaitingSearch& waiting, const AgentsByDataCentre& agents);
     void askSpeaker(const FlowKey& flow, WaitingSearch& waiting, const std::string& dataCentre, std::span<const std::uint32_t> members, std::span<const std::uint8_t> packet);
     void askDirectly(const FlowKey& flow, const WaitingSearch& waiting, std::span<const std::uint32_t> agents);
     void probeOverdue(Millis now);
--- a/src/kingcuptraild/packets/neighboursearches.cpp
+++ b/src/kingcuptraild/packets/neighboursearches.cpp
@@ -30,7 +30,7 @@
 void NeighbourSearches::begin(const PeerMessage& message, std::uint32_t sender)
 {
     const Millis now = m_state.role.clock.now();
-    const HolderAnswer own = answerHolderQuestion(m_state.flows, message.flow, message.acknowledged, now);
+    const HolderAnswer own = answerHolderQuery(m_state.flows, message.flow, message.acknowledged, now);
     if (own == HolderAnswer::Held) {
         reply(m_state, sender, { .kind = wire::PeerKind::HeldNear, .flow = message.flow, .holder = m_state.self.address });
         return;
@@ -72,7 +72,7 @@
     const auto found = m_searches.find(message.flow);
     if (found == m_searches.end())
         return;
-    const SearchState state = takeAnswer(found->second.search, sender, holderAnswerOf(message.kind));
+    const SearchState state = recordAnswer(found->second.search, sender, holderAnswerOf(message.kind));
     if (state == SearchState::Found || found->second.search.awaited.empty())
         finish(message.flow);
 }
@@ -81,7 +81,7 @@
 {
     const auto found = m_searches.find(flow);
     const NearSearch& near = found->second;
-    NearAnswer answer = answerOf(near);
+    DelegatedAnswer answer = answerOf(near);
     if (near.search.state == SearchState::Found)
         reply(m_state, near.balancer, { .kind = wire::PeerKind::HeldNear, .flow = flow, .holder = near.search.holder });
     else if (answer.open.empty() && near.isSameList)
@@ -91,7 +91,7 @@
     m_searches.erase(found);
 }
 
-void NeighbourSearches::replyUnsure(std::uint32_t balancer, const FlowKey& flow, NearAnswer answer)
+void NeighbourSearches::replyUnsure(std::uint32_t balancer, const FlowKey& flow, DelegatedAnswer answer)
 {
     if (answer.denied.size() + answer.open.size() > mostNamed)
         answer = {};
@@ -99,9 +99,9 @@
 }
 
 // The agents that denied the flow and the agents that could not tell or did not answer, including this agent.
-NearAnswer NeighbourSearches::answerOf(const NearSearch& near) const
+DelegatedAnswer NeighbourSearches::answerOf(const NearSearch& near) const
 {
-    NearAnswer answer { .open = unansweredIn(near.search) };
+    DelegatedAnswer answer { .open = agentsWithoutDenial(near.search) };
     const auto isOpen = [&answer](std::uint32_t agent) { return std::ranges::find(answer.open, agent) != answer.open.end(); };
     std::ranges::copy_if(near.search.asked, std::back_inserter(answer.denied), std::not_fn(isOpen));
     const std::uint32_t self = m_state.network.ownAddress();
--- a/src/kingcuptraild/packets/neighboursearches.h
+++ b/src/kingcuptraild/packets/neighboursearches.h
@@ -29,8 +29,8 @@
 
     std::vector<std::uint32_t> neighbours(std::span<const std::uint32_t> excluded) const;
     void finish(const FlowKey& flow);
-    NearAnswer answerOf(const NearSearch& near) const;
-    void replyUnsure(std::uint32_t balancer, const FlowKey& flow, NearAnswer answer);
+    DelegatedAnswer answerOf(const NearSearch& near) const;
+    void replyUnsure(std::uint32_t balancer, const FlowKey& flow, DelegatedAnswer answer);
 
     AgentState& m_state;
     std::unordered_map<FlowKey, NearSearch> m_searches;
--- a/src/kingcuptraild/packets/packetagent.cpp
+++ b/src/kingcuptraild/packets/packetagent.cpp
@@ -135,9 +135,9 @@
     const Millis now = m_state.role.clock.now();
     const std::uint32_t index = indexOf(m_state, sender);
     const std::uint64_t requestsBefore = m_state.flows.requests;
-    const CallerPacketAction action = takeCallerPacket(m_state.flows, message.flow, *head, now);
+    const CallerPacketAction action = trackCallerPacket(m_state.flows, message.flow, *head, now);
     if (m_state.flows.requests != requestsBefore)
-        noteRequest(m_state.health, now);
+        recordRequest(m_state.health, now);
     const bool isProbe = message.kind == wire::PeerKind::Probe;
     switch (action) {
     case CallerPacketAction::Deliver:
@@ -162,7 +162,7 @@
 
 void PacketAgent::handleFind(const PeerMessage& message, std::uint32_t sender)
 {
-    const HolderAnswer answer = answerHolderQuestion(m_state.flows, message.flow, message.acknowledged, m_state.role.clock.now());
+    const HolderAnswer answer = answerHolderQuery(m_state.flows, message.flow, message.acknowledged, m_state.role.clock.now());
     reply(m_state, sender, { .kind = peerKindOf(answer), .flow = message.flow });
 }
 
@@ -180,7 +180,7 @@
     }
     const FlowKey flow = flowFromUpstream(*head);
     const Millis now = m_state.role.clock.now();
-    const UpstreamPacketNews news = takeUpstreamPacket(m_state.flows, flow, *head, now);
+    const UpstreamPacketEffect news = trackUpstreamPacket(m_state.flows, flow, *head, now);
     noteHealth(news, now);
     if (const auto question = m_learning.take(flow)) {
         const bool isHeld = !head->flags.resets;
@@ -193,13 +193,13 @@
     m_admission.admitWaiting();
 }
 
-void PacketAgent::noteHealth(const UpstreamPacketNews& news, Millis now)
+void PacketAgent::noteHealth(const UpstreamPacketEffect& news, Millis now)
 {
-    if (news.isWorkAnswered) {
+    if (news.isRequestAnswered) {
         if (m_state.health.isFailing)
             logEvent(Event::UpstreamAnswersAgain, { { "after", static_cast<std::uint64_t>(now - m_state.health.failedAt) }, { "brokenOff", m_state.health.failures } });
-        noteAnswered(m_state.health);
-    } else if (news.isWorkBrokenOff && noteBrokenOff(m_state.health, now)) {
+        recordAnswered(m_state.health);
+    } else if (news.isRequestAborted && recordAborted(m_state.health, now)) {
         logEvent(Event::UpstreamFailing, { { "reason", "brokenOff" }, { "unanswered", m_state.health.unanswered }, { "brokenOff", m_state.health.failures }, { "atWork", m_state.flows.atWork }, { "reportAge", static_cast<std::uint64_t>(now - m_state.gate.reportedAt) } });
     }
 }
@@ -209,14 +209,14 @@
 {
     if (!m_state.gate.upstream || m_state.health.unanswered == 0)
         return;
-    const Millis target = longestLatencyTarget(m_state.network.routes(), m_state.gate.upstream->service);
-    if (target > 0 && reviewUnanswered(m_state.health, target, now))
+    const Millis target = maxLatencyTarget(m_state.network.routes(), m_state.gate.upstream->service);
+    if (target > 0 && detectHang(m_state.health, target, now))
         logEvent(Event::UpstreamFailing, { { "reason", "noAnswer" }, { "unanswered", m_state.health.unanswered }, { "brokenOff", m_state.health.failures }, { "atWork", m_state.flows.atWork }, { "reportAge", static_cast<std::uint64_t>(now - m_state.gate.reportedAt) } });
 }
 
 // The upstream has returned a packet because it does not hold the flow or cannot accept it. This overrides the agent's own
 // flow table.
-void PacketAgent::handleReturned(const FlowKey& flow, std::span<std::uint8_t> packet, const PacketHead& head)
+void PacketAgent::handleReturned(const FlowKey& flow, std::span<std::uint8_t> packet, const PacketHeader& head)
 {
     m_state.fates.increment(AgentPacketFate::Returned);
     forgetFlow(m_state.flows, flow);
@@ -227,9 +227,9 @@
     const std::uint32_t sender = m_state.senders[head.mark - 1];
     m_state.adapter.clearMarks(packet);
     if (isOpening(head)) {
-        m_state.refusals.increment(OpenRefusal::Returned);
-        logFlowEvent(Event::OpeningRefused, flow, { { "reason", nameOf(OpenRefusal::Returned) }, { "atWork", m_state.flows.atWork }, { "open", m_state.flows.open } });
-        reply(m_state, sender, { .kind = wire::PeerKind::Refused, .flow = flow, .refusal = OpenRefusal::Returned, .packet = packet });
+        m_state.refusals.increment(OpeningRefusal::Returned);
+        logFlowEvent(Event::OpeningRefused, flow, { { "reason", nameOf(OpeningRefusal::Returned) }, { "atWork", m_state.flows.atWork }, { "open", m_state.flows.open } });
+        reply(m_state, sender, { .kind = wire::PeerKind::Refused, .flow = flow, .refusal = OpeningRefusal::Returned, .packet = packet });
     } else {
         const std::span<const std::uint8_t> returned = isProbe ? std::span<const std::uint8_t>() : packet;
         reply(m_state, sender, { .kind = wire::PeerKind::NotHeld, .flow = flow, .packet = returned });
@@ -249,9 +249,9 @@
         handleReport(*call.report);
         return jsonReply(200, "{}");
     case UpstreamCall::Kind::Farewell:
-        if (takeFarewell(m_state.gate, call.id)) {
+        if (applyShutdownNotice(m_state.gate, call.id)) {
             logEvent(Event::UpstreamLeft, { { "upstream", call.id } });
-            takeEnd(m_former);
+            recordShutdown(m_former);
             m_state.flows.isComplete = knowsEveryFlow(m_former);
             announceState();
         }
@@ -265,13 +265,13 @@
 void PacketAgent::handleReport(const UpstreamReport& report)
 {
     const Millis now = m_state.role.clock.now();
-    const ReportNews news = takeReport(m_state.gate, report, now);
+    const ReportEffect news = applyReport(m_state.gate, report, now);
     m_reports.increment(news);
-    if (news == ReportNews::Changed || news == ReportNews::NewProcess)
+    if (news == ReportEffect::Changed || news == ReportEffect::NewProcess)
         logEvent(Event::UpstreamReported, { { "upstream", report.id }, { "news", nameOf(news) }, { "service", report.service }, { "draining", report.isDraining ? "yes" : "no" }, { "born", report.born }, { "sequence", report.sequence }, { "coldLeft", static_cast<std::uint64_t>(report.coldLeft) } });
-    if (news != ReportNews::Stale)
-        takeSignOfLife(m_former, report, news == ReportNews::NewProcess);
-    if (news == ReportNews::NewProcess)
+    if (news != ReportEffect::Stale)
+        recordReport(m_former, report, news == ReportEffect::NewProcess);
+    if (news == ReportEffect::NewProcess)
         resetLostFlows();
     m_state.flows.isComplete = knowsEveryFlow(m_former);
     announceState();
@@ -283,7 +283,7 @@
 {
     if (m_former.isGone && !m_former.hasReport)
         withdrawFormerEntry();
-    if (noteListening(m_former, now)) {
+    if (recordListening(m_former, now)) {
         m_state.flows.isComplete = knowsEveryFlow(m_former);
         if (!m_former.hasReport)
             m_announcement.find(m_state.role.settings.name);
@@ -293,7 +293,7 @@
     if (!shouldConnect(m_former))
         return;
     const auto& upstream = m_state.role.settings.packets.upstream;
-    m_contact.attempt({ upstream.address(), upstream.port() }, [this](ConnectionOutcome outcome) { noteConnection(m_former, outcome, m_state.role.clock.now()); });
+    m_contact.attempt({ upstream.address(), upstream.port() }, [this](ConnectionOutcome outcome) { recordConnection(m_former, outcome, m_state.role.clock.now()); });
 }
 
 // Withdraws the entry that an earlier process announced for an upstream that is not running. The host may be removed at any
@@ -319,8 +319,8 @@
 // flows instead of sending into lost ones until their deadlines.
 void PacketAgent::resetLostFlows()
 {
-    const std::vector<LostFlow> lost = takeLostFlows(m_state.flows);
-    forgetRequests(m_state.health);
+    const std::vector<LostFlow> lost = extractLostFlows(m_state.flows);
+    clearUnanswered(m_state.health);
     for (const LostFlow& flow : lost) {
         const auto packet = m_state.adapter.encodeReset(flow.flow, flow.callerAcknowledged);
         m_state.network.sendPacket(packet, { asio::ip::address_v4(flow.flow.caller.address), m_state.role.settings.packets.ingress.port() });
@@ -414,7 +414,7 @@
     const Millis leavingFor = now - m_leavingSince;
     // An agent that stopped before it knows that its upstream is gone would leave its entry in the directory, and every search
     // would wait for it.
-    const bool isStillLearning = mayTurnOutGone(m_former) && leavingFor < leaveLearningTime;
+    const bool isStillLearning = mayBeFoundGone(m_former) && leavingFor < leaveLearningTime;
     if (isStillLearning || (leavingFor < leaveTime && m_state.flows.open > 0)) {
         m_leaveTimer.start(turnInterval, [this, done = std::move(done)] { shutDown(done); });
         return;
--- a/src/kingcuptraild/packets/packetagent.h
+++ b/src/kingcuptraild/packets/packetagent.h
@@ -27,9 +27,9 @@
     void handleFind(const PeerMessage& message, std::uint32_t sender);
 
     void handleUpstreamDatagram(std::span<std::uint8_t> packet);
-    void noteHealth(const UpstreamPacketNews& news, Millis now);
+    void noteHealth(const UpstreamPacketEffect& news, Millis now);
     void reviewHealth(Millis now);
-    void handleReturned(const FlowKey& flow, std::span<std::uint8_t> packet, const PacketHead& head);
+    void handleReturned(const FlowKey& flow, std::span<std::uint8_t> packet, const PacketHeader& head);
 
     HttpResponse handleUpstreamCall(const HttpRequest& request);
     void handleReport(const UpstreamReport& report);
@@ -54,7 +54,7 @@
     AgentAnnouncement m_announcement;
     std::unique_ptr<StoreFollower> m_store;
     std::unique_ptr<DatagramSocket> m_outbound;
-    FormerFlows m_former;
+    UntrackedFlows m_former;
     UpstreamContact m_contact;
     bool m_isStarted = false;
     Delay m_turnTimer;
@@ -65,7 +65,7 @@
     float m_toldLoad = 0;
     Millis m_toldAt = 0;
 
-    EnumCounters<ReportNews> m_reports;
+    EnumCounters<ReportEffect> m_reports;
     EnumCounters<DecodeError> m_badCalls;
     std::uint64_t m_resetFlows = 0;
 };
--- a/src/kingcuptraild/packets/packetbalancer.cpp
+++ b/src/kingcuptraild/packets/packetbalancer.cpp
@@ -95,7 +95,7 @@
         handleFlowPacket(flow, *head, packet);
 }
 
-void PacketBalancer::handleFlowPacket(const FlowKey& flow, const PacketHead& head, std::span<const std::uint8_t> packet)
+void PacketBalancer::handleFlowPacket(const FlowKey& flow, const PacketHeader& head, std::span<const std::uint8_t> packet)
 {
     const auto holder = m_state.holders.find(flow);
     if (holder == m_state.holders.end()) {
@@ -109,7 +109,7 @@
 
 void PacketBalancer::handleFlowMessage(const PeerMessage& message, std::uint32_t sender)
 {
-    noteHeard(m_state.silent, sender);
+    recordMessage(m_state.silent, sender);
     switch (message.kind) {
     case wire::PeerKind::Admitted:
         m_openings.handleAdmitted(message, sender);
@@ -139,7 +139,7 @@
 {
     const Millis now = m_state.role.clock.now();
     if (m_state.network.isInDoubt())
-        forgetSilence(m_state.silent);
+        resetSilence(m_state.silent);
     m_lookup.turn(now - m_state.startedAt);
     followStore(now);
     m_openings.offerAgain(now);
@@ -180,7 +180,7 @@
     const StoreReaderOptions& options = m_state.network.readers().options;
     const bool isSeed = std::ranges::any_of(settings.seeds, [this](const auto& seed) { return seed.address() == m_state.role.settings.listen.address(); });
     const Millis delay = isSeed ? 0 : firstReadDelay(options, upstreamIdOf(m_state.role.settings.name), settings.linkMegabits);
-    return delay + firstReadTurn(options, readerRank(), isSeed);
+    return delay + firstReadRankDelay(options, readerRank(), isSeed);
 }
 
 std::size_t PacketBalancer::readerRank() const
@@ -196,7 +196,7 @@
 void PacketBalancer::pingSilentAgents(Millis now)
 {
     m_pingedAt = now;
-    reviewSilence(m_state.silent, countAgents());
+    resetImplausibleSilence(m_state.silent, countAgents());
     std::erase_if(m_state.silent.silentSince, [this](const auto& item) { return !findByAddress(m_state.network.directory(), item.first); });
     std::vector<std::uint32_t> quiet;
     for (const auto& [address, load] : m_state.loads) {
--- a/src/kingcuptraild/packets/pausemeter.cpp
+++ b/src/kingcuptraild/packets/pausemeter.cpp
@@ -29,7 +29,7 @@
 {
 }
 
-bool PauseMeter::noteRunning()
+bool PauseMeter::recordRun()
 {
     const Millis now = suspendAwareNow();
     const Millis gap = now - m_lastRun;
--- a/src/kingcuptraild/packets/pausemeter.h
+++ b/src/kingcuptraild/packets/pausemeter.h
@@ -12,7 +12,7 @@
     PauseMeter();
 
     /// Records that the process is running; to be called regularly and before each decision. True when a pause has just ended.
-    bool noteRunning();
+    bool recordRun();
 
     /// Records that a peer's gossip message was received.
     void noteNews();
--- a/src/kingcuptraild/packets/peernetwork.cpp
+++ b/src/kingcuptraild/packets/peernetwork.cpp
@@ -80,7 +80,7 @@
 void PeerNetwork::takeRoutes(RouteTable routes)
 {
     const ConfigVersion previous = m_view.routes.version;
-    if (!offerRoutes(m_view.routes, std::move(routes)))
+    if (!applyRoutes(m_view.routes, std::move(routes)))
         return;
     logEvent(Event::RoutesInForce, { { "version", m_view.routes.version }, { "previous", previous }, { "routes", m_view.routes.routes.size() } });
     for (const ServiceLimits& limits : m_view.routes.services)
@@ -91,17 +91,17 @@
 void PeerNetwork::takeOutages(OutageView outages)
 {
     const OutageView previous = m_view.outages;
-    if (!offerOutages(m_view.outages, std::move(outages)))
+    if (!applyOutages(m_view.outages, std::move(outages)))
         return;
     std::vector<std::string> returned;
     for (const std::string& name : previous.out) {
-        if (!isOut(m_view.outages, name)) {
+        if (!isDataCentreOut(m_view.outages, name)) {
             returned.push_back(name);
             logEvent(Event::DataCentreBack, { { "dataCentre", name }, { "revision", m_view.outages.revision } });
         }
     }
     for (const std::string& name : m_view.outages.out) {
-        if (!isOut(previous, name))
+        if (!isDataCentreOut(previous, name))
             logEvent(Event::DataCentreOut, { { "dataCentre", name }, { "revision", m_view.outages.revision } });
     }
     tellSome(changeCount, {});
@@ -158,7 +158,7 @@
         }
         return false;
     }
-    return offerEntry(m_directory, entry);
+    return applyEntry(m_directory, entry);
 }
 
 const PeerEntry& PeerNetwork::announce(PeerEntry self)
@@ -169,7 +169,7 @@
     if (m_self.epoch == 0)
         self.epoch = std::max(self.epoch, unixMillis());
     m_self = std::move(self);
-    offerEntry(m_directory, m_self);
+    applyEntry(m_directory, m_self);
     noteDirectoryChanged();
     tellSome(changeCount, { m_self });
     for (const auto& [name, entry] : m_directory.entries)
@@ -195,7 +195,7 @@
     if (isReading)
         beat(m_readers, m_self.name, m_clock.now());
     else
-        stopBeating(m_readers, m_self.name, m_clock.now());
+        announceStop(m_readers, m_self.name, m_clock.now());
     tellSome(changeCount, {});
 }
 
@@ -218,9 +218,9 @@
 
 bool PeerNetwork::isInDoubt()
 {
-    if (m_pause.noteRunning()) {
+    if (m_pause.recordRun()) {
         logEvent(Event::ProcessPaused, { { "milliseconds", static_cast<std::uint64_t>(m_pause.lastPause()) } });
-        forgetAgreement(m_agentsAgreement);
+        resetAgreement(m_agentsAgreement);
         tellSome(changeCount, {});
     }
     return m_pause.isInDoubt();
@@ -261,9 +261,9 @@
         takeEntry(entries.front());
     else
         takeEntries(entries);
-    for (const ReaderBeat& reader : readersOf(message))
-        takeBeat(m_readers, reader, m_lastNewsAt);
-    takeDirectoryWord(m_agentsAgreement, message.table->agents_digest() == m_agentsDigest, m_clock.now());
+    for (const ReaderHeartbeat& reader : readersOf(message))
+        recordHeartbeat(m_readers, reader, m_lastNewsAt);
+    recordPeerDigest(m_agentsAgreement, message.table->agents_digest() == m_agentsDigest, m_clock.now());
     if (message.table->digest() != m_digest)
         compareDirectory(sender);
     if (message.table->wants_answer())
@@ -333,7 +333,7 @@
 
 void PeerNetwork::tell(std::uint32_t address, const std::vector<PeerEntry>& changed, bool wantsAnswer)
 {
-    NewsMessage news { .configVersion = m_view.routes.version, .digest = m_digest, .agentsDigest = m_agentsDigest, .outages = &m_view.outages, .entries = changed, .readers = freshBeats(m_readers, m_clock.now()), .wantsAnswer = wantsAnswer };
+    NewsMessage news { .configVersion = m_view.routes.version, .digest = m_digest, .agentsDigest = m_agentsDigest, .outages = &m_view.outages, .entries = changed, .readers = currentHeartbeats(m_readers, m_clock.now()), .wantsAnswer = wantsAnswer };
     std::erase_if(news.entries, [](const PeerEntry& entry) { return entry.name.empty(); });
     if (news.entries.size() > entriesInNews)
         news.entries.resize(entriesInNews);
@@ -353,7 +353,7 @@
 
 void PeerNetwork::sendDigests(std::uint32_t address, bool wantsAnswer, bool differsMuch)
 {
-    m_socket->send(m_encoder.encode(DigestsMessage { .configVersion = m_view.routes.version, .digests = partDigestsOf(m_directory), .wantsAnswer = wantsAnswer, .differsMuch = differsMuch }), peerEndpoint(address));
+    m_socket->send(m_encoder.encode(DigestsMessage { .configVersion = m_view.routes.version, .digests = bucketDigestsOf(m_directory), .wantsAnswer = wantsAnswer, .differsMuch = differsMuch }), peerEndpoint(address));
 }
 
 // The entries are sent before the digests, so that the peer's answer does not repeat entries that it has just received.
@@ -376,7 +376,7 @@
 
 void PeerNetwork::fetchDirectory(std::uint32_t address)
 {
-    if (!m_fetch && beginDirectoryFetch(m_fetching, m_directory.entries.size(), m_clock.now()))
+    if (!m_fetch && tryBeginDirectoryFetch(m_fetching, m_directory.entries.size(), m_clock.now()))
         fetchView(address, { .routes = false, .entries = true });
 }
 
@@ -387,7 +387,7 @@
         m_newerVersion = offered;
         return;
     }
-    if (beginRoutesFetch(m_fetching, m_view.routes.version, offered, m_clock.now()))
+    if (tryBeginRoutesFetch(m_fetching, m_view.routes.version, offered, m_clock.now()))
         fetchView(address, { .routes = true, .entries = m_view.routes.version == 0 });
 }
 
--- a/src/kingcuptraild/packets/peernetwork.h
+++ b/src/kingcuptraild/packets/peernetwork.h
@@ -2,7 +2,7 @@
 
 #include "libdecision/directoryagreement.h"
 #include "libdecision/directorydifference.h"
-#include "libdecision/viewfetching.h"
+#include "libdecision/viewfetchlimiter.h"
 #include "libhttp/httpclient.h"
 #include "libhttp/httpserver.h"
 #include "libplatform/delay.h"
@@ -137,7 +137,7 @@
     std::uint64_t m_agentsDigest = 0;
     PauseMeter m_pause;
     Millis m_lastNewsAt = 0;
-    ViewFetching m_fetching;
+    ViewFetchLimiter m_fetching;
     /// The peer that named a newer configuration while a fetch was in progress, and its version.
     std::uint32_t m_newerAt = 0;
     ConfigVersion m_newerVersion = 0;
--- a/src/kingcuptraild/packets/storefollower.cpp
+++ b/src/kingcuptraild/packets/storefollower.cpp
@@ -142,7 +142,7 @@
             continue;
         }
         entries.push_back(*entry);
-        if (isLeftBehind(m_network.directory(), *entry))
+        if (isStaleListing(m_network.directory(), *entry))
             leftBehind[object.name] = object.version;
     }
     m_network.takeEntries(entries);
--- a/src/kingcuptraild/packets/upstreamcontact.h
+++ b/src/kingcuptraild/packets/upstreamcontact.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "libdecision/formerflows.h"
+#include "libdecision/untrackedflows.h"
 
 #include <asio/io_context.hpp>
 #include <asio/ip/tcp.hpp>
--- a/src/libcaller/callerflow.cpp
+++ b/src/libcaller/callerflow.cpp
@@ -8,7 +8,7 @@
 
     constexpr std::size_t packetOverheadBytes = 256;
 
-    struct PacketHead {
+    struct PacketHeader {
         wire::PacketKind kind = wire::PacketKind::Ack;
         ServiceAddress service = 0;
         FlowId flow = 0;
@@ -18,7 +18,7 @@
         std::uint32_t acknowledged = 0;
     };
 
-    Bytes encodePacket(const PacketHead& head, const Bytes* payload)
+    Bytes encodePacket(const PacketHeader& head, const Bytes* payload)
     {
         flatbuffers::FlatBufferBuilder builder(packetOverheadBytes + (payload ? payload->size() : 0));
         flatbuffers::Offset<flatbuffers::Vector<std::uint8_t>> bytes;
--- a/src/libdecision/admissionqueue.cpp
+++ b/src/libdecision/admissionqueue.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    bool goesBefore(const WaitingOpening& left, const WaitingOpening& right, Millis now)
+    bool precedes(const WaitingOpening& left, const WaitingOpening& right, Millis now)
     {
         const bool isLeftTimely = isTimely(left, now);
         if (isLeftTimely != isTimely(right, now))
@@ -30,7 +30,7 @@
     return static_cast<std::uint32_t>(std::ranges::count_if(queue.waiting, [now](const auto& opening) { return isTimely(opening, now); }));
 }
 
-bool takeCopy(AdmissionQueue& queue, const FlowKey& flow, Millis now)
+bool recordCopy(AdmissionQueue& queue, const FlowKey& flow, Millis now)
 {
     const auto found = std::ranges::find(queue.waiting, flow, &WaitingOpening::flow);
     if (found == queue.waiting.end())
@@ -50,11 +50,11 @@
 
 const WaitingOpening* peekNext(const AdmissionQueue& queue, Millis now)
 {
-    const auto next = std::ranges::min_element(queue.waiting, [now](const auto& left, const auto& right) { return goesBefore(left, right, now); });
+    const auto next = std::ranges::min_element(queue.waiting, [now](const auto& left, const auto& right) { return precedes(left, right, now); });
     return next == queue.waiting.end() ? nullptr : &*next;
 }
 
-std::optional<WaitingOpening> takeNext(AdmissionQueue& queue, Millis now)
+std::optional<WaitingOpening> popNext(AdmissionQueue& queue, Millis now)
 {
     const WaitingOpening* next = peekNext(queue, now);
     if (!next)
@@ -65,10 +65,10 @@
     return taken;
 }
 
-std::vector<WaitingOpening> takeExpired(AdmissionQueue& queue, Millis now)
+std::vector<WaitingOpening> removeExpired(AdmissionQueue& queue, Millis now)
 {
-    const auto isOver = [&](const WaitingOpening& opening) { return now - opening.startedAt > queue.options.longestWait; };
-    const auto over = std::stable_partition(queue.waiting.begin(), queue.waiting.end(), [&](const auto& opening) { return !isOver(opening); });
+    const auto hasExpired = [&](const WaitingOpening& opening) { return now - opening.startedAt > queue.options.maxWait; };
+    const auto over = std::stable_partition(queue.waiting.begin(), queue.waiting.end(), [&](const auto& opening) { return !hasExpired(opening); });
     std::vector<WaitingOpening> expired(std::make_move_iterator(over), std::make_move_iterator(queue.waiting.end()));
     queue.waiting.erase(over, queue.waiting.end());
     return expired;
--- a/src/libdecision/admissionqueue.h
+++ b/src/libdecision/admissionqueue.h
@@ -29,7 +29,7 @@
     /// target don't delay the others, since they are admitted last.
     std::uint32_t waitingPerSlot = 20;
     /// How long an opening may wait, in milliseconds since its caller sent it first.
-    Millis longestWait = longestOpeningWait();
+    Millis maxWait = maxOpeningWait();
 };
 
 /// Openings that wait at one agent. After an outage all callers return within a tenth of a second and bring several
@@ -42,7 +42,7 @@
 };
 
 /// Records that a copy of an opening packet arrived. Returns whether that opening waits here.
-bool takeCopy(AdmissionQueue&, const FlowKey&, Millis now);
+bool recordCopy(AdmissionQueue&, const FlowKey&, Millis now);
 
 /// Whether the answer is likely to meet the latency target if the opening is admitted now.
 bool isTimely(const WaitingOpening&, Millis now);
@@ -56,12 +56,12 @@
 /// Removes and returns the opening to admit next: among those that can still be answered in time the most urgent, and the
 /// newest of these; if there is none, the one whose caller sent a copy most recently. Callers give up at their deadline
 /// without sending anything, so admitting the oldest first would spend most slots on callers that have left.
-std::optional<WaitingOpening> takeNext(AdmissionQueue&, Millis now);
+std::optional<WaitingOpening> popNext(AdmissionQueue&, Millis now);
 
-/// The opening that takeNext() would return, or nullptr when the queue is empty. Valid until the queue changes.
+/// The opening that popNext() would return, or nullptr when the queue is empty. Valid until the queue changes.
 const WaitingOpening* peekNext(const AdmissionQueue&, Millis now);
 
-/// Removes and returns the openings that have waited for longer than `longestWait`.
-std::vector<WaitingOpening> takeExpired(AdmissionQueue&, Millis now);
+/// Removes and returns the openings that have waited for longer than `maxWait`.
+std::vector<WaitingOpening> removeExpired(AdmissionQueue&, Millis now);
 
 }
--- a/src/libdecision/agentchoice.cpp
+++ b/src/libdecision/agentchoice.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-    struct Scored {
+    struct ScoredAgent {
         std::uint32_t address = 0;
         double score = 0;
-        std::uint64_t tie = 0;
+        std::uint64_t tieBreaker = 0;
     };
 
     /// Larger than any load, so that an agent that does not answer or has just refused comes after all others.
-    constexpr double lastResort = 1000.0;
+    constexpr double unavailablePenalty = 1000.0;
     /// Loads that differ by less than this fraction of all slots count as equal, and the hash decides.
     constexpr double scoreStep = 0.2;
 
@@ -25,7 +25,7 @@
     {
         const double slots = std::max(load.slots, 1U);
         const double waiting = load.atWork > 2 * load.slots ? static_cast<double>(load.atWork) / slots : 0;
-        return std::max(static_cast<double>(load.usual), waiting) + load.sentSince / slots;
+        return std::max(static_cast<double>(load.usual), waiting) + load.sentSinceReport / slots;
     }
 
     double scoreOf(const AgentCandidate& candidate, const AgentChoiceOptions& options, Millis now)
@@ -34,11 +34,11 @@
         double score = loadOf(load);
         const bool isPreferred = candidate.isNear && score < options.nearLimit;
         score -= isPreferred ? options.nearAllowance : 0;
-        score += load.isCold ? options.coldSurcharge : 0;
+        score += load.isCold ? options.coldPenalty : 0;
         if (load.unanswered > 0)
-            score += lastResort * 2;
+            score += unavailablePenalty * 2;
         else if (now < load.refusesUntil)
-            score += lastResort;
+            score += unavailablePenalty;
         return score;
     }
 
@@ -46,22 +46,22 @@
 
 std::vector<std::uint32_t> chooseAgents(const FlowKey& flow, std::span<const AgentCandidate> candidates, const AgentChoiceOptions& options, Millis now)
 {
-    std::vector<Scored> scored;
+    std::vector<ScoredAgent> scored;
     scored.reserve(candidates.size());
     const std::uint64_t hash = flowHash(flow);
     for (const AgentCandidate& candidate : candidates) {
         // Keeps rounding errors in a sum of tenths from placing a score just below its step.
         constexpr double rounding = 0.0005;
         const double steps = std::max(0.0, scoreOf(candidate, options, now) + options.nearAllowance + rounding) / scoreStep;
-        const std::uint64_t tie = rankWeight(hash, candidate.address);
-        scored.push_back({ .address = candidate.address, .score = static_cast<double>(static_cast<std::uint64_t>(steps)), .tie = tie });
+        const std::uint64_t tieBreaker = rankWeight(hash, candidate.address);
+        scored.push_back({ .address = candidate.address, .score = static_cast<double>(static_cast<std::uint64_t>(steps)), .tieBreaker = tieBreaker });
     }
-    std::ranges::sort(scored, [](const Scored& left, const Scored& right) {
-        return left.score != right.score ? left.score < right.score : left.tie < right.tie;
+    std::ranges::sort(scored, [](const ScoredAgent& left, const ScoredAgent& right) {
+        return left.score != right.score ? left.score < right.score : left.tieBreaker < right.tieBreaker;
     });
     std::vector<std::uint32_t> order;
     order.reserve(scored.size());
-    for (const Scored& each : scored)
+    for (const ScoredAgent& each : scored)
         order.push_back(each.address);
     return order;
 }
--- a/src/libdecision/agentchoice.h
+++ b/src/libdecision/agentchoice.h
@@ -21,7 +21,7 @@
     bool isCold = false;
     Millis heardAt = 0;
     /// Openings that this balancer has sent to the agent since its last load report.
-    std::uint32_t sentSince = 0;
+    std::uint32_t sentSinceReport = 0;
     /// Consecutive opening packets that the agent did not answer.
     std::uint32_t unanswered = 0;
     /// The agent refused its last opening, and is expected to refuse others until this time.
@@ -36,7 +36,7 @@
     double nearLimit = 0.9;
     /// Added to the load of a cold agent. A cold upstream works about half as fast and may admit only a few requests a
     /// second.
-    double coldSurcharge = 1.0;
+    double coldPenalty = 1.0;
 };
 
 /// An agent that a flow may be offered to.
--- a/src/libdecision/agentflows.cpp
+++ b/src/libdecision/agentflows.cpp
@@ -9,7 +9,7 @@
 
     /// How far a caller's first acknowledgement may be beyond the upstream's answer. The answer takes one sequence number,
     /// and the first packet that arrives may already acknowledge several full packets (16 in flight of 1,200 bytes).
-    constexpr std::uint32_t longestFirstStep = 16 * 1200 + 1;
+    constexpr std::uint32_t maxFirstAcknowledgement = 16 * 1200 + 1;
 
     void clearWork(AgentFlows& table, AgentFlow& flow)
     {
@@ -21,11 +21,11 @@
 
     /// An expiry is extended only by at least this much, in milliseconds, so that a long upload does not add an entry for
     /// each of its packets.
-    constexpr Millis workStep = 300;
+    constexpr Millis minWorkExtension = 300;
 
     void countWork(AgentFlows& table, const FlowKey& key, AgentFlow& flow, Millis until)
     {
-        if (flow.workUntil != 0 && until - flow.workUntil < workStep)
+        if (flow.workUntil != 0 && until - flow.workUntil < minWorkExtension)
             return;
         if (flow.workUntil == 0)
             ++table.atWork;
@@ -50,19 +50,19 @@
     {
         if (!flow.answerSequence)
             return false;
-        return acknowledged - *flow.answerSequence <= longestFirstStep;
+        return acknowledged - *flow.answerSequence <= maxFirstAcknowledgement;
     }
 
     /// Records that the caller has sent up to `end`. Returns whether that is new data. Sequence numbers wrap around.
-    bool noteSent(AgentFlow& flow, std::uint32_t end)
+    bool advanceCallerSentEnd(AgentFlow& flow, std::uint32_t end)
     {
-        if (flow.callerSent && static_cast<std::int32_t>(end - *flow.callerSent) <= 0)
+        if (flow.callerSentEnd && static_cast<std::int32_t>(end - *flow.callerSentEnd) <= 0)
             return false;
-        flow.callerSent = end;
+        flow.callerSentEnd = end;
         return true;
     }
 
-    bool isOver(const AgentFlow& flow, const AgentFlowOptions& options, Millis now)
+    bool hasExpired(const AgentFlow& flow, const AgentFlowOptions& options, Millis now)
     {
         const Millis silence = now - flow.lastPacketAt;
         switch (flow.phase) {
@@ -76,12 +76,12 @@
         return silence > options.closedLimit;
     }
 
-    void dropCounts(AgentFlows& table, AgentFlow& flow)
+    void removeFromCounts(AgentFlows& table, AgentFlow& flow)
     {
         setPhase(table, flow, FlowPhase::Closed);
     }
 
-    bool knowsAll(const AgentFlows& table, Millis now)
+    bool hasAllFlows(const AgentFlows& table, Millis now)
     {
         return table.isComplete || now >= table.completeAt;
     }
@@ -96,16 +96,16 @@
     if (isNew || flow.phase == FlowPhase::Closed) {
         flow = {};
         flow.openedAt = now;
-        countWork(table, key, flow, now + table.options.openingWork);
+        countWork(table, key, flow, now + table.options.openingWorkTime);
     }
     flow.lastPacketAt = now;
 }
 
-CallerPacketAction takeCallerPacket(AgentFlows& table, const FlowKey& key, const PacketHead& head, Millis now)
+CallerPacketAction trackCallerPacket(AgentFlows& table, const FlowKey& key, const PacketHeader& head, Millis now)
 {
     const auto found = table.flows.find(key);
     if (found == table.flows.end())
-        return knowsAll(table, now) ? CallerPacketAction::NotHeld : CallerPacketAction::DeliverToLearn;
+        return hasAllFlows(table, now) ? CallerPacketAction::NotHeld : CallerPacketAction::DeliverToLearn;
     AgentFlow& flow = found->second;
     if (flow.phase == FlowPhase::Opening) {
         if (!head.flags.resets && !acknowledgesAnswerOf(flow, head.acknowledged))
@@ -115,11 +115,11 @@
     flow.lastPacketAt = now;
     if (head.flags.acknowledges)
         flow.callerAcknowledged = head.acknowledged;
-    const bool isNewData = noteSent(flow, head.sequence + head.dataLength) && head.dataLength > 0;
+    const bool isNewData = advanceCallerSentEnd(flow, head.sequence + head.dataLength) && head.dataLength > 0;
     table.requests += isNewData && !flow.hasRequest ? 1 : 0;
     flow.hasRequest = flow.hasRequest || isNewData;
     if (isNewData && flow.phase == FlowPhase::Open)
-        countWork(table, key, flow, now + table.options.requestWork);
+        countWork(table, key, flow, now + table.options.requestWorkTime);
     flow.callerEnded = flow.callerEnded || head.flags.ends;
     if (head.flags.resets || (flow.callerEnded && flow.upstreamEnded))
         setPhase(table, flow, FlowPhase::Closed);
@@ -139,30 +139,30 @@
     return std::nullopt;
 }
 
-UpstreamPacketNews takeUpstreamPacket(AgentFlows& table, const FlowKey& key, const PacketHead& head, Millis now)
+UpstreamPacketEffect trackUpstreamPacket(AgentFlows& table, const FlowKey& key, const PacketHeader& head, Millis now)
 {
-    UpstreamPacketNews news { .isAnswer = head.flags.opens && head.flags.acknowledges };
+    UpstreamPacketEffect effect { .isAnswer = head.flags.opens && head.flags.acknowledges };
     auto found = table.flows.find(key);
     if (found == table.flows.end()) {
         // A reset of an unknown flow means that the upstream does not hold it.
         if (head.flags.resets)
-            return news;
+            return effect;
         found = table.flows.try_emplace(key).first;
         found->second.openedAt = now;
-        news.isLearnt = !news.isAnswer;
+        effect.isLearnt = !effect.isAnswer;
     }
     AgentFlow& flow = found->second;
     flow.lastPacketAt = now;
-    if (news.isAnswer)
+    if (effect.isAnswer)
         flow.answerSequence = head.sequence;
     else if (flow.phase == FlowPhase::Opening)
         setPhase(table, flow, FlowPhase::Open);
     if (head.flags.acknowledges)
-        noteSent(flow, head.acknowledged);
-    if (news.isLearnt)
+        advanceCallerSentEnd(flow, head.acknowledged);
+    if (effect.isLearnt)
         flow.callerAcknowledged = head.sequence;
-    news.isWorkAnswered = flow.hasRequest && head.dataLength > 0;
-    news.isWorkBrokenOff = flow.hasRequest && head.flags.resets;
+    effect.isRequestAnswered = flow.hasRequest && head.dataLength > 0;
+    effect.isRequestAborted = flow.hasRequest && head.flags.resets;
     if (head.dataLength > 0) {
         flow.hasRequest = false;
         clearWork(table, flow);
@@ -170,7 +170,7 @@
     flow.upstreamEnded = flow.upstreamEnded || head.flags.ends;
     if (head.flags.resets || (flow.callerEnded && flow.upstreamEnded))
         setPhase(table, flow, FlowPhase::Closed);
-    return news;
+    return effect;
 }
 
 void learnFlow(AgentFlows& table, const FlowKey& key, std::uint32_t callerAcknowledged, Millis now)
@@ -190,12 +190,12 @@
     const auto found = table.flows.find(key);
     if (found == table.flows.end())
         return false;
-    dropCounts(table, found->second);
+    removeFromCounts(table, found->second);
     table.flows.erase(found);
     return true;
 }
 
-std::vector<LostFlow> takeLostFlows(AgentFlows& table)
+std::vector<LostFlow> extractLostFlows(AgentFlows& table)
 {
     std::vector<LostFlow> lost;
     for (const auto& [key, flow] : table.flows) {
@@ -227,24 +227,24 @@
 {
     const std::size_t buckets = table.flows.bucket_count();
     const std::size_t part = buckets / sweepParts + 1;
-    std::vector<FlowKey> over;
+    std::vector<FlowKey> expired;
     for (std::size_t index = 0; index < part; ++index) {
         const std::size_t bucket = (table.sweepBucket + index) % buckets;
         for (auto entry = table.flows.begin(bucket); entry != table.flows.end(bucket); ++entry) {
-            if (isOver(entry->second, table.options, now))
-                over.push_back(entry->first);
+            if (hasExpired(entry->second, table.options, now))
+                expired.push_back(entry->first);
         }
     }
     table.sweepBucket = (table.sweepBucket + part) % buckets;
-    for (const FlowKey& key : over)
+    for (const FlowKey& key : expired)
         forgetFlow(table, key);
 }
 
-HolderAnswer answerHolderQuestion(const AgentFlows& table, const FlowKey& key, std::uint32_t acknowledged, Millis now)
+HolderAnswer answerHolderQuery(const AgentFlows& table, const FlowKey& key, std::uint32_t acknowledged, Millis now)
 {
     const auto found = table.flows.find(key);
     if (found == table.flows.end())
-        return knowsAll(table, now) ? HolderAnswer::NotHeld : HolderAnswer::Unsure;
+        return hasAllFlows(table, now) ? HolderAnswer::NotHeld : HolderAnswer::Unsure;
     const AgentFlow& flow = found->second;
     if (flow.phase != FlowPhase::Opening || acknowledgesAnswerOf(flow, acknowledged))
         return HolderAnswer::Held;
--- a/src/libdecision/agentflows.h
+++ b/src/libdecision/agentflows.h
@@ -30,7 +30,7 @@
     /// acknowledges the sequence number of the one that it chose.
     std::optional<std::uint32_t> answerSequence;
     /// Sequence number after the last byte that the caller has sent; data below it is a retransmission and not new work.
-    std::optional<std::uint32_t> callerSent;
+    std::optional<std::uint32_t> callerSentEnd;
     /// The caller's last acknowledgement; a reset must carry it for the caller to accept it.
     std::uint32_t callerAcknowledged = 0;
     Millis openedAt = 0;
@@ -56,10 +56,10 @@
     Millis closedLimit = 13000;
     /// How long an opening counts as work, in milliseconds. Its caller completes it within two round trips or has given up.
     /// With a longer time, openings of callers that have left keep other callers waiting until those leave too.
-    Millis openingWork = 50;
+    Millis openingWorkTime = 50;
     /// How long an unanswered request counts as work, in milliseconds. Longer than a request takes to process, and short
     /// enough that abandoned requests don't block the upstream's slots.
-    Millis requestWork = 1500;
+    Millis requestWorkTime = 1500;
 };
 
 /// When a flow that counts as work is checked again.
@@ -119,25 +119,25 @@
 void beginFlow(AgentFlows&, const FlowKey&, Millis now);
 
 /// Updates a flow from a caller's packet that does not open a flow, and decides what to do with the packet.
-CallerPacketAction takeCallerPacket(AgentFlows&, const FlowKey&, const PacketHead&, Millis now);
+CallerPacketAction trackCallerPacket(AgentFlows&, const FlowKey&, const PacketHeader&, Millis now);
 
 /// The immediate answer to a balancer that sent a packet to find the flow's holder; nothing when only the upstream can
 /// tell. A flow that is already known needs an explicit Held, or the balancer's search would end without finding it.
 std::optional<HolderAnswer> answerToProbe(CallerPacketAction);
 
 /// What a packet from the upstream changed in its flow's state.
-struct UpstreamPacketNews {
+struct UpstreamPacketEffect {
     /// The flow was not in the table; the upstream held it before this process started.
     bool isLearnt = false;
     /// The packet answers an opening packet.
     bool isAnswer = false;
     /// How the upstream ended a request: with data, or with a reset before any data.
-    bool isWorkAnswered = false;
-    bool isWorkBrokenOff = false;
+    bool isRequestAnswered = false;
+    bool isRequestAborted = false;
 };
 
 /// Updates a flow from a packet that the upstream sent to a caller.
-UpstreamPacketNews takeUpstreamPacket(AgentFlows&, const FlowKey&, const PacketHead&, Millis now);
+UpstreamPacketEffect trackUpstreamPacket(AgentFlows&, const FlowKey&, const PacketHeader&, Millis now);
 
 /// Adds a flow that the upstream held before this process started; does nothing when the flow is known.
 void learnFlow(AgentFlows&, const FlowKey&, std::uint32_t callerAcknowledged, Millis now);
@@ -154,7 +154,7 @@
 /// Removes every flow, since the upstream's process has ended, and returns those that are open and have to be reset. An
 /// opening that its caller has not completed is not returned: the caller may have accepted another upstream's answer and
 /// hold the flow there. The table is complete afterwards, since the agent sees every flow of the new process.
-std::vector<LostFlow> takeLostFlows(AgentFlows&);
+std::vector<LostFlow> extractLostFlows(AgentFlows&);
 
 /// Stops counting flows as work whose time has expired.
 void expireWork(AgentFlows&, Millis now);
@@ -163,6 +163,6 @@
 void sweepFlows(AgentFlows&, Millis now);
 
 /// Answers a balancer that searches for the holder of a flow. `acknowledged` is from the caller's packet.
-HolderAnswer answerHolderQuestion(const AgentFlows&, const FlowKey&, std::uint32_t acknowledged, Millis now);
+HolderAnswer answerHolderQuery(const AgentFlows&, const FlowKey&, std::uint32_t acknowledged, Millis now);
 
 }
--- a/src/libdecision/directory.cpp
+++ b/src/libdecision/directory.cpp
@@ -37,17 +37,17 @@
 
 }
 
-bool offerEntry(Directory& directory, PeerEntry entry)
+bool applyEntry(Directory& directory, PeerEntry entry)
 {
     const auto known = directory.entries.find(entry.name);
-    std::uint64_t& partDigest = directory.partDigests[partOf(entry.name)];
+    std::uint64_t& bucketDigest = directory.bucketDigests[bucketOf(entry.name)];
     if (known != directory.entries.end()) {
         if (entry.epoch <= known->second.epoch)
             return false;
         removeFromService(directory, known->second);
-        partDigest ^= digestOf(known->second);
+        bucketDigest ^= digestOf(known->second);
     }
-    partDigest ^= digestOf(entry);
+    bucketDigest ^= digestOf(entry);
     if (entry.role == PeerRole::Agent && entry.state == PeerState::Ready)
         directory.readyAgents[entry.service].insert(entry.name);
     directory.entries.insert_or_assign(entry.name, std::move(entry));
@@ -66,20 +66,20 @@
     return agents;
 }
 
-bool isLeftBehind(const Directory& directory, const PeerEntry& listed)
+bool isStaleListing(const Directory& directory, const PeerEntry& listed)
 {
     const auto known = directory.entries.find(listed.name);
     return known != directory.entries.end() && known->second.state == PeerState::Gone && known->second.epoch >= listed.epoch;
 }
 
-std::size_t partOf(std::string_view name)
+std::size_t bucketOf(std::string_view name)
 {
-    return XXH3_64bits(name.data(), name.size()) % directoryParts;
+    return XXH3_64bits(name.data(), name.size()) % directoryBuckets;
 }
 
 std::uint64_t digestOf(const Directory& directory)
 {
-    return std::accumulate(directory.partDigests.begin(), directory.partDigests.end(), std::uint64_t { 0 }, std::bit_xor {});
+    return std::accumulate(directory.bucketDigests.begin(), directory.bucketDigests.end(), std::uint64_t { 0 }, std::bit_xor {});
 }
 
 std::uint64_t agentsDigestOf(const Directory& directory)
--- a/src/libdecision/directory.h
+++ b/src/libdecision/directory.h
@@ -54,26 +54,26 @@
 };
 
 /// Number of hash buckets by which directories are compared; a power of two.
-inline constexpr std::size_t directoryParts = 256;
+inline constexpr std::size_t directoryBuckets = 256;
 
 /// All known processes by name. Gossip makes the directories of all processes equal after some rounds. An entry does not
 /// mean that its process is alive.
 struct Directory {
     std::map<std::string, PeerEntry, std::less<>> entries;
-    /// Digests of names and epochs; the index is partOf() of the name.
-    std::array<std::uint64_t, directoryParts> partDigests {};
+    /// Digests of names and epochs; the index is bucketOf() of the name.
+    std::array<std::uint64_t, directoryBuckets> bucketDigests {};
     /// Names of the agents that accept new flows, by service, so that an opening's cost depends on the agents of its
     /// service and not on all agents.
     std::map<std::string, std::set<std::string>, std::less<>> readyAgents;
 };
 
 /// Stores an announcement unless one with the same or a higher epoch is known. Returns whether it was stored.
-bool offerEntry(Directory&, PeerEntry);
+bool applyEntry(Directory&, PeerEntry);
 
 /// Whether an announcement in the store belongs to a process that has since announced that it is gone. A process that
 /// cannot reach the store when it stops leaves its announcement there, and processes that start later would wait for its
 /// answers.
-bool isLeftBehind(const Directory&, const PeerEntry& listed);
+bool isStaleListing(const Directory&, const PeerEntry& listed);
 
 /// Whether the entry belongs to an agent that may hold flows. A draining agent accepts no new flows but keeps its open
 /// ones.
@@ -83,7 +83,7 @@
 }
 
 /// The hash bucket of a directory that this name belongs to.
-std::size_t partOf(std::string_view name);
+std::size_t bucketOf(std::string_view name);
 
 /// A digest that is equal in all processes that know the same entries with the same epochs.
 std::uint64_t digestOf(const Directory&);
--- a/src/libdecision/directoryagreement.h
+++ b/src/libdecision/directoryagreement.h
@@ -6,7 +6,7 @@
 
 struct DirectoryAgreementOptions {
     /// How long a peer's message that its directory is equal remains valid, in milliseconds; several gossip rounds.
-    Millis wordTime = 1500;
+    Millis digestValidity = 1500;
 };
 
 /// Whether a process may treat its directory as complete, judged by the digests that peers send. When hosts join while
@@ -21,10 +21,10 @@
 };
 
 /// Records whether the digest that a peer sent equals the own one.
-void takeDirectoryWord(DirectoryAgreement&, bool isSame, Millis now);
+void recordPeerDigest(DirectoryAgreement&, bool isSame, Millis now);
 
 /// Clears the agreement after the process was paused, since earlier digests are out of date.
-void forgetAgreement(DirectoryAgreement&);
+void resetAgreement(DirectoryAgreement&);
 
 /// Whether the last digest received was equal and is still valid.
 bool isAgreed(const DirectoryAgreement&, Millis now);
--- a/src/libdecision/directorydifference.cpp
+++ b/src/libdecision/directorydifference.cpp
@@ -8,34 +8,34 @@
 namespace {
 
     /// The numbers of buckets are powers of two, so the digest of a larger bucket is the XOR of smaller ones.
-    std::vector<std::uint32_t> foldedDigests(const Directory& directory, std::size_t parts)
+    std::vector<std::uint32_t> foldedDigests(const Directory& directory, std::size_t buckets)
     {
-        std::vector<std::uint32_t> digests(parts);
-        for (std::size_t part = 0; part < directoryParts; ++part)
-            digests[part % parts] ^= static_cast<std::uint32_t>(directory.partDigests[part]);
+        std::vector<std::uint32_t> digests(buckets);
+        for (std::size_t bucket = 0; bucket < directoryBuckets; ++bucket)
+            digests[bucket % buckets] ^= static_cast<std::uint32_t>(directory.bucketDigests[bucket]);
         return digests;
     }
 
 }
 
-std::vector<std::uint32_t> partDigestsOf(const Directory& directory, const DirectoryDifferenceOptions& options)
+std::vector<std::uint32_t> bucketDigestsOf(const Directory& directory, const DirectoryDifferenceOptions& options)
 {
-    const std::size_t wanted = std::bit_ceil(directory.entries.size() / options.entriesInPart + 1);
-    return foldedDigests(directory, std::clamp(wanted, options.fewestParts, directoryParts));
+    const std::size_t wanted = std::bit_ceil(directory.entries.size() / options.entriesPerBucket + 1);
+    return foldedDigests(directory, std::clamp(wanted, options.minBuckets, directoryBuckets));
 }
 
-DirectoryDifference differenceTo(const Directory& directory, std::span<const std::uint32_t> partDigests, const DirectoryDifferenceOptions& options)
+DirectoryDifference differenceTo(const Directory& directory, std::span<const std::uint32_t> bucketDigests, const DirectoryDifferenceOptions& options)
 {
-    const std::size_t parts = partDigests.size();
-    if (!std::has_single_bit(parts) || parts > directoryParts)
+    const std::size_t buckets = bucketDigests.size();
+    if (!std::has_single_bit(buckets) || buckets > directoryBuckets)
         return {};
-    const std::vector<std::uint32_t> own = foldedDigests(directory, parts);
+    const std::vector<std::uint32_t> own = foldedDigests(directory, buckets);
     DirectoryDifference difference;
     for (const auto& [name, entry] : directory.entries) {
-        const std::size_t part = partOf(name) % parts;
-        if (own[part] == partDigests[part])
+        const std::size_t bucket = bucketOf(name) % buckets;
+        if (own[bucket] == bucketDigests[bucket])
             continue;
-        if (difference.entries.size() == options.mostEntries) {
+        if (difference.entries.size() == options.maxEntries) {
             difference.entries.clear();
             difference.isLarge = true;
             return difference;
--- a/src/libdecision/directorydifference.h
+++ b/src/libdecision/directorydifference.h
@@ -9,11 +9,11 @@
     Millis interval = 50;
     /// Average number of entries in one bucket of the directory. A smaller number makes the comparison message larger, a
     /// larger one the answer to it.
-    std::size_t entriesInPart = 4;
+    std::size_t entriesPerBucket = 4;
     /// Minimum number of buckets, for small directories.
-    std::size_t fewestParts = 16;
+    std::size_t minBuckets = 16;
     /// Maximum number of entries sent in answer to one comparison. With more differences the whole directory is fetched.
-    std::size_t mostEntries = 48;
+    std::size_t maxEntries = 48;
 };
 
 /// The entries that a peer lacks or has with another epoch, as far as digests show.
@@ -25,10 +25,10 @@
 };
 
 /// Digests of the directory's buckets, to be sent to a peer that compares them with its own.
-std::vector<std::uint32_t> partDigestsOf(const Directory&, const DirectoryDifferenceOptions& = {});
+std::vector<std::uint32_t> bucketDigestsOf(const Directory&, const DirectoryDifferenceOptions& = {});
 
 /// Compares a directory with the digests that a peer has sent. The peer chooses the number of buckets. Returns no
 /// difference when that number is invalid.
-DirectoryDifference differenceTo(const Directory&, std::span<const std::uint32_t> partDigests, const DirectoryDifferenceOptions& = {});
+DirectoryDifference differenceTo(const Directory&, std::span<const std::uint32_t> bucketDigests, const DirectoryDifferenceOptions& = {});
 
 }
--- /dev/null
+++ b/src/libdecision/flowadmission.cpp
@@ -0,0 +1,118 @@
+#include "flowadmission.h"
+
+#include <algorithm>
+
+namespace kingcuptrail {
+
+namespace {
+
+    bool hasColdCapacity(FlowAdmission& admission, double rate, Millis now)
+    {
+        while (!admission.coldOpenings.empty() && now - admission.coldOpenings.front() >= admission.options.coldWindow)
+            admission.coldOpenings.pop_front();
+        return static_cast<double>(admission.coldOpenings.size()) + 1 <= rate;
+    }
+
+    OpeningRefusal refusalByState(const FlowAdmission& admission, const RouteTable& routes, const OutageView& outages, const OpeningRequest& request, Millis now)
+    {
+        if (admission.isLeaving)
+            return OpeningRefusal::AgentLeaving;
+        if (!admission.upstream || now - admission.reportedAt > admission.options.reportLimit)
+            return OpeningRefusal::NoUpstream;
+        if (admission.upstream->isDraining)
+            return OpeningRefusal::UpstreamDraining;
+        if (admission.mayViewBeStale)
+            return OpeningRefusal::ViewInDoubt;
+        if (isDataCentreOut(outages, admission.upstream->dataCentre))
+            return OpeningRefusal::DataCentreOut;
+        if (routes.version == 0 || outages.revision == 0)
+            return OpeningRefusal::NoConfiguration;
+        // If the balancer has a newer configuration, its decision applies.
+        const bool decidesHere = routes.version >= request.balancerVersion;
+        if (decidesHere && !allowsService(routes, request.address, admission.upstream->service))
+            return OpeningRefusal::WrongService;
+        return OpeningRefusal::None;
+    }
+
+}
+
+bool isTransient(OpeningRefusal refusal)
+{
+    switch (refusal) {
+    case OpeningRefusal::NoUpstream:
+    case OpeningRefusal::ViewInDoubt:
+    case OpeningRefusal::NoConfiguration:
+    case OpeningRefusal::Cold:
+    case OpeningRefusal::Busy:
+    case OpeningRefusal::UpstreamFailing:
+        return true;
+    default:
+        return false;
+    }
+}
+
+OpeningRefusal decideOpening(FlowAdmission& admission, const RouteTable& routes, const OutageView& outages, const OpeningRequest& request, Millis now)
+{
+    if (const OpeningRefusal refusal = refusalByState(admission, routes, outages, request, now); refusal != OpeningRefusal::None)
+        return refusal;
+    const ServiceLimits* limits = findLimits(routes, admission.upstream->service);
+    if (limits && limits->flowLimit > 0 && request.openFlows >= limits->flowLimit)
+        return OpeningRefusal::FlowLimit;
+    const double workPerSlot = request.needsFreeSlot ? 1.0 : admission.options.workPerSlot;
+    if (request.atWork >= workPerSlot * admission.upstream->slots)
+        return OpeningRefusal::Busy;
+    // Without a configured rate only the limit on waiting work applies, since a cold upstream is merely slow. A rate chosen
+    // by the agent itself would refuse nearly all openings for a whole warm-up after a power failure of every upstream.
+    if (now < admission.coldUntil && limits && limits->coldRate > 0) {
+        if (!hasColdCapacity(admission, limits->coldRate, now))
+            return OpeningRefusal::Cold;
+        admission.coldOpenings.push_back(now);
+    }
+    return OpeningRefusal::None;
+}
+
+ReportEffect applyReport(FlowAdmission& admission, const UpstreamReport& report, Millis now)
+{
+    ReportEffect effect = ReportEffect::Nothing;
+    if (!admission.upstream) {
+        effect = ReportEffect::Changed;
+    } else {
+        const UpstreamReport& known = *admission.upstream;
+        if (report.born < known.born)
+            return ReportEffect::Stale;
+        if (report.born > known.born || report.id != known.id)
+            effect = ReportEffect::NewProcess;
+        else if (report.sequence <= known.sequence)
+            return ReportEffect::Stale;
+        else if (report.isDraining != known.isDraining || report.service != known.service || report.slots != known.slots)
+            effect = ReportEffect::Changed;
+    }
+    admission.upstream = report;
+    admission.reportedAt = now;
+    admission.coldUntil = now + report.coldLeft;
+    return effect;
+}
+
+bool applyShutdownNotice(FlowAdmission& admission, std::string_view id)
+{
+    if (!admission.upstream || admission.upstream->id != id)
+        return false;
+    admission.upstream->isDraining = true;
+    return true;
+}
+
+bool isServing(const FlowAdmission& admission, Millis now)
+{
+    return admission.upstream && !admission.upstream->isDraining && now - admission.reportedAt <= admission.options.reportLimit;
+}
+
+void assumeCold(FlowAdmission& admission, const RouteTable& routes, Millis now)
+{
+    if (!admission.upstream)
+        return;
+    const ServiceLimits* limits = findLimits(routes, admission.upstream->service);
+    if (limits)
+        admission.coldUntil = std::max(admission.coldUntil, now + limits->warmUp);
+}
+
+}
--- a/src/libdecision/opengate.h
+++ b/src/libdecision/flowadmission.h
@@ -10,7 +10,7 @@
 namespace kingcuptrail {
 
 /// Why an agent does not admit an opening packet.
-enum class OpenRefusal : std::uint8_t {
+enum class OpeningRefusal : std::uint8_t {
     None,
     /// No report of a running upstream has arrived, or none for too long.
     NoUpstream,
@@ -39,7 +39,7 @@
 };
 
 template <>
-struct EnumNames<OpenRefusal> {
+struct EnumNames<OpeningRefusal> {
     static constexpr std::array<std::string_view, 14> names {
         "none",
         "noUpstream",
@@ -60,7 +60,7 @@
 
 /// Whether the reason may disappear while the opening waits. A process that has just started receives the configuration
 /// within a few round trips, and its upstream's next heartbeat.
-bool isPassing(OpenRefusal refusal);
+bool isTransient(OpeningRefusal refusal);
 
 /// The contents of an upstream's heartbeat.
 struct UpstreamReport {
@@ -77,7 +77,7 @@
     Millis coldLeft = 0;
 };
 
-struct OpenGateOptions {
+struct FlowAdmissionOptions {
     /// An upstream that sends no report for longer gets no new flow, in milliseconds. Shorter than the time after which its
     /// address may belong to another service, longer than a heartbeat interval.
     Millis reportLimit = 1900;
@@ -90,8 +90,8 @@
 };
 
 /// An agent's state for deciding whether its upstream gets an opening packet.
-struct OpenGate {
-    OpenGateOptions options;
+struct FlowAdmission {
+    FlowAdmissionOptions options;
     std::optional<UpstreamReport> upstream;
     Millis reportedAt = 0;
     /// Until when the upstream is cold, by this process's clock.
@@ -99,11 +99,11 @@
     /// When openings were admitted while the upstream was cold.
     std::deque<Millis> coldOpenings;
     bool isLeaving = false;
-    bool isViewInDoubt = false;
+    bool mayViewBeStale = false;
 };
 
 /// One opening packet and the upstream's load when it arrives.
-struct OpenAttempt {
+struct OpeningRequest {
     PacketEndpoint address;
     /// Version of the configuration by which the balancer chose this agent's service.
     ConfigVersion balancerVersion = 0;
@@ -114,10 +114,10 @@
 };
 
 /// Decides whether the upstream gets this opening packet now. An admitted opening counts towards the cold rate.
-OpenRefusal decideOpen(OpenGate&, const RouteTable&, const OutageView&, const OpenAttempt&, Millis now);
+OpeningRefusal decideOpening(FlowAdmission&, const RouteTable&, const OutageView&, const OpeningRequest&, Millis now);
 
 /// The effect of a report on the agent's state.
-enum class ReportNews : std::uint8_t {
+enum class ReportEffect : std::uint8_t {
     /// From a process that has been replaced, or older than the last report.
     Stale,
     Nothing,
@@ -128,22 +128,22 @@
 };
 
 template <>
-struct EnumNames<ReportNews> {
+struct EnumNames<ReportEffect> {
     static constexpr std::array<std::string_view, 4> names { "stale", "nothing", "changed", "newProcess" };
 };
 
 /// Applies a heartbeat of the upstream.
-ReportNews takeReport(OpenGate&, const UpstreamReport&, Millis now);
+ReportEffect applyReport(FlowAdmission&, const UpstreamReport&, Millis now);
 
 /// Applies the upstream's notice that it shuts down. Returns false, without effect, when `id` is not that of the known
 /// process.
-bool takeFarewell(OpenGate&, std::string_view id);
+bool applyShutdownNotice(FlowAdmission&, std::string_view id);
 
 /// Whether the upstream accepts new flows, judged by its reports alone.
-bool isServing(const OpenGate&, Millis now);
+bool isServing(const FlowAdmission&, Millis now);
 
 /// Treats the upstream as cold for the whole warm-up time until a report says how long it really stays cold. Used when it
 /// may have become cold without having reported it, as when its data centre returns to service.
-void assumeCold(OpenGate&, const RouteTable&, Millis now);
+void assumeCold(FlowAdmission&, const RouteTable&, Millis now);
 
 }
--- a/src/libdecision/holdersearch.cpp
+++ b/src/libdecision/holdersearch.cpp
@@ -13,7 +13,7 @@
 
 // The list of agents may have grown since the search began, since a process that has just started learns it step by step.
 // Answers of the agents known first don't show that the others don't hold the flow.
-std::vector<std::uint32_t> askMissing(HolderSearch& search, std::span<const std::uint32_t> agents)
+std::vector<std::uint32_t> addMissingAgents(HolderSearch& search, std::span<const std::uint32_t> agents)
 {
     std::vector<std::uint32_t> missing;
     for (const std::uint32_t agent : agents) {
@@ -27,7 +27,7 @@
     return missing;
 }
 
-std::vector<std::uint32_t> unansweredIn(const HolderSearch& search)
+std::vector<std::uint32_t> agentsWithoutDenial(const HolderSearch& search)
 {
     std::vector<std::uint32_t> agents = search.awaited;
     agents.insert(agents.end(), search.unsure.begin(), search.unsure.end());
@@ -41,9 +41,9 @@
     return awaited;
 }
 
-NearAnswer sortNearAnswer(const HolderSearch& search, std::span<const std::uint32_t> members, std::span<const std::uint32_t> denied, std::span<const std::uint32_t> open)
+DelegatedAnswer classifyDelegatedAnswer(const HolderSearch& search, std::span<const std::uint32_t> members, std::span<const std::uint32_t> denied, std::span<const std::uint32_t> open)
 {
-    NearAnswer answer;
+    DelegatedAnswer answer;
     for (const std::uint32_t agent : members) {
         const bool isAwaited = std::ranges::find(search.awaited, agent) != search.awaited.end();
         if (std::ranges::find(denied, agent) != denied.end())
@@ -53,12 +53,12 @@
         else if (std::ranges::find(open, agent) != open.end())
             answer.open.push_back(agent);
         else
-            answer.unheard.push_back(agent);
+            answer.unknown.push_back(agent);
     }
     return answer;
 }
 
-SearchState takeAnswer(HolderSearch& search, std::uint32_t agent, HolderAnswer answer)
+SearchState recordAnswer(HolderSearch& search, std::uint32_t agent, HolderAnswer answer)
 {
     if (search.state == SearchState::Found)
         return search.state;
--- a/src/libdecision/holdersearch.h
+++ b/src/libdecision/holdersearch.h
@@ -37,30 +37,30 @@
 
 /// Adds those of `agents` to the search that were not asked yet, and returns them. If there are any, a search that ended
 /// with HeldByNobody goes on.
-std::vector<std::uint32_t> askMissing(HolderSearch&, std::span<const std::uint32_t> agents);
+std::vector<std::uint32_t> addMissingAgents(HolderSearch&, std::span<const std::uint32_t> agents);
 
 /// The agents that have not denied the flow: those that did not answer and those that are unsure. An agent that was asked
 /// through another one of its data centre counts as unsure when that one is unsure about it, even if it is gone.
-std::vector<std::uint32_t> unansweredIn(const HolderSearch&);
+std::vector<std::uint32_t> agentsWithoutDenial(const HolderSearch&);
 
 /// Those of `agents` that have not answered yet.
 std::vector<std::uint32_t> awaitedOf(const HolderSearch&, std::span<const std::uint32_t> agents);
 
 /// What an agent that answers for its data centre says about the other agents there.
-struct NearAnswer {
+struct DelegatedAnswer {
     std::vector<std::uint32_t> denied;
     /// Agents that it has asked and that could not deny the flow.
     std::vector<std::uint32_t> open;
     /// Agents that it does not know.
-    std::vector<std::uint32_t> unheard;
+    std::vector<std::uint32_t> unknown;
 };
 
 /// Classifies those of `members` that have not denied the flow yet by an answer for their data centre. An agent that has
 /// answered unsure itself is left out unless the answer lists it as denied.
-NearAnswer sortNearAnswer(const HolderSearch&, std::span<const std::uint32_t> members, std::span<const std::uint32_t> denied, std::span<const std::uint32_t> open);
+DelegatedAnswer classifyDelegatedAnswer(const HolderSearch&, std::span<const std::uint32_t> members, std::span<const std::uint32_t> denied, std::span<const std::uint32_t> open);
 
 /// Records one agent's answer and returns the resulting state. An agent that was not asked counts only if it holds the
 /// flow.
-SearchState takeAnswer(HolderSearch&, std::uint32_t agent, HolderAnswer);
+SearchState recordAnswer(HolderSearch&, std::uint32_t agent, HolderAnswer);
 
 }
--- a/src/libdecision/openingschedule.h
+++ b/src/libdecision/openingschedule.h
@@ -18,7 +18,7 @@
 
 /// Minimum time since the caller sent the first packet of an opening when this one is its copy number `copies`, in
 /// milliseconds.
-constexpr Millis leastAgeOf(std::uint32_t copies, const OpeningSchedule& schedule = {})
+constexpr Millis minOpeningAge(std::uint32_t copies, const OpeningSchedule& schedule = {})
 {
     if (copies == 0)
         return 0;
@@ -26,7 +26,7 @@
 }
 
 /// How long an opening that was just sent for the first time may wait for its answer, in milliseconds.
-constexpr Millis longestOpeningWait(const OpeningSchedule& schedule = {})
+constexpr Millis maxOpeningWait(const OpeningSchedule& schedule = {})
 {
     return schedule.giveUp - openingAnswerMargin;
 }
--- a/src/libdecision/packet.h
+++ b/src/libdecision/packet.h
@@ -53,7 +53,7 @@
 };
 
 /// The header fields of a packet. Balancers and agents don't read the data.
-struct PacketHead {
+struct PacketHeader {
     PacketEndpoint source;
     PacketEndpoint destination;
     PacketFlags flags;
@@ -68,19 +68,19 @@
 };
 
 /// The flow of a packet that a caller sent.
-inline FlowKey flowFromCaller(const PacketHead& head)
+inline FlowKey flowFromCaller(const PacketHeader& head)
 {
     return { .caller = head.source, .service = head.destination };
 }
 
 /// The flow of a packet that an upstream sent.
-inline FlowKey flowFromUpstream(const PacketHead& head)
+inline FlowKey flowFromUpstream(const PacketHeader& head)
 {
     return { .caller = head.destination, .service = head.source };
 }
 
 /// Whether a caller's packet opens a new flow.
-inline bool isOpening(const PacketHead& head)
+inline bool isOpening(const PacketHeader& head)
 {
     return head.flags.opens && !head.flags.acknowledges;
 }
--- a/src/libdecision/probeplan.h
+++ b/src/libdecision/probeplan.h
@@ -8,13 +8,13 @@
 namespace kingcuptrail {
 
 /// Agents of one search by the name of their data centre.
-using AgentsByCentre = std::map<std::string, std::vector<std::uint32_t>, std::less<>>;
+using AgentsByDataCentre = std::map<std::string, std::vector<std::uint32_t>, std::less<>>;
 
 /// The addresses of all agents in all data centres.
-std::vector<std::uint32_t> addressesOf(const AgentsByCentre&);
+std::vector<std::uint32_t> addressesOf(const AgentsByDataCentre&);
 
 /// The agents that are also in `agents`; data centres without any are left out.
-AgentsByCentre amongThese(const AgentsByCentre&, std::span<const std::uint32_t> agents);
+AgentsByDataCentre filterAgents(const AgentsByDataCentre&, std::span<const std::uint32_t> agents);
 
 /// An agent that does not know whether its upstream holds the flow, because it was restarted while the upstream kept
 /// running. It finds out by delivering a packet of the flow, which the upstream accepts or returns.
@@ -30,13 +30,13 @@
     std::string dataCentre;
     std::vector<std::uint32_t> members;
     /// The packet is sent to any one of them, which forwards it to the others.
-    bool isThroughOne = false;
+    bool isForwarded = false;
 };
 
 struct ProbePlanOptions {
     /// In a data centre with at least this many agents, one agent forwards the packet to the others. That takes fewer
     /// messages from three agents on, and with four it is worth the second round trip, which stays within the data centre.
-    std::size_t fewestForOne = 4;
+    std::size_t minAgentsForForwarding = 4;
 };
 
 /// The unsure agents of one search, and which of them have received the packet. When every process is restarted while the
@@ -50,16 +50,16 @@
     std::vector<UnsureAgent> waiting;
     std::vector<UnsureAgent> probed;
     /// Data centres in which one agent has forwarded the packet to all others.
-    std::vector<std::string> probedThroughOne;
+    std::vector<std::string> forwardedDataCentres;
 };
 
-void addUnsure(ProbePlan&, UnsureAgent agent);
+void addUnsureAgent(ProbePlan&, UnsureAgent agent);
 
 /// Returns the probes to send now and counts their agents as probed. Agents of the balancer's own data centre come first,
 /// since it holds most flows. Other data centres follow when these agents have denied the flow or when `isNearOverdue` is
 /// set. Agents of other services come last, when all others have denied it, since they hold the flow only if its route has
-/// changed. A data centre with at least `fewestForOne` agents is probed through one agent at most once in a search.
-std::vector<ProbeGroup> takeProbes(ProbePlan&, const HolderSearch&, const AgentsByCentre& asked, bool isNearOverdue);
+/// changed. A data centre with at least `minAgentsForForwarding` agents is probed through one agent at most once in a search.
+std::vector<ProbeGroup> nextProbes(ProbePlan&, const HolderSearch&, const AgentsByDataCentre& asked, bool isNearOverdue);
 
 /// Whether this agent was sent the packet.
 bool wasProbed(const ProbePlan&, std::uint32_t agent);
--- a/src/libdecision/routetable.cpp
+++ b/src/libdecision/routetable.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-    ServiceAddress orderOf(const FlowRoute& route)
+    ServiceAddress sortKey(const FlowRoute& route)
     {
         return toServiceAddress(route.address);
     }
@@ -15,7 +15,7 @@
 
 const FlowRoute* findRoute(const RouteTable& table, const PacketEndpoint& address)
 {
-    const auto found = std::ranges::lower_bound(table.routes, toServiceAddress(address), {}, orderOf);
+    const auto found = std::ranges::lower_bound(table.routes, toServiceAddress(address), {}, sortKey);
     return found != table.routes.end() && found->address == address ? &*found : nullptr;
 }
 
@@ -25,7 +25,7 @@
     return found != table.services.end() ? &*found : nullptr;
 }
 
-bool isOut(const OutageView& view, std::string_view dataCentre)
+bool isDataCentreOut(const OutageView& view, std::string_view dataCentre)
 {
     return std::ranges::find(view.out, dataCentre) != view.out.end();
 }
@@ -55,7 +55,7 @@
     return route && std::ranges::any_of(route->shares, [&](const RouteShare& share) { return share.weight > 0 && share.service == service; });
 }
 
-Millis longestLatencyTarget(const RouteTable& table, std::string_view service)
+Millis maxLatencyTarget(const RouteTable& table, std::string_view service)
 {
     Millis longest = 0;
     for (const FlowRoute& route : table.routes) {
@@ -65,16 +65,16 @@
     return longest;
 }
 
-bool offerRoutes(RouteTable& current, RouteTable next)
+bool applyRoutes(RouteTable& current, RouteTable next)
 {
     if (next.version <= current.version)
         return false;
-    std::ranges::sort(next.routes, {}, orderOf);
+    std::ranges::sort(next.routes, {}, sortKey);
     current = std::move(next);
     return true;
 }
 
-bool offerOutages(OutageView& current, OutageView next)
+bool applyOutages(OutageView& current, OutageView next)
 {
     if (next.revision <= current.revision)
         return false;
--- a/src/libdecision/routetable.h
+++ b/src/libdecision/routetable.h
@@ -63,7 +63,7 @@
 
 const FlowRoute* findRoute(const RouteTable&, const PacketEndpoint& address);
 const ServiceLimits* findLimits(const RouteTable&, std::string_view service);
-bool isOut(const OutageView&, std::string_view dataCentre);
+bool isDataCentreOut(const OutageView&, std::string_view dataCentre);
 
 /// The service that a new flow goes to, chosen by weight and the same for every copy of the flow's opening packet. Returns
 /// nullptr when the configuration has no route for the address.
@@ -73,12 +73,12 @@
 bool allowsService(const RouteTable&, const PacketEndpoint& address, std::string_view service);
 
 /// The longest latency target of all routes to `service`, in milliseconds; 0 without such a route.
-Millis longestLatencyTarget(const RouteTable&, std::string_view service);
+Millis maxLatencyTarget(const RouteTable&, std::string_view service);
 
 /// Replaces the configuration if `next` has a higher version, and returns whether it did. Updates arrive in any order from
-/// the store and from peers, so an older configuration must never replace a newer one. offerOutages() does the same for
+/// the store and from peers, so an older configuration must never replace a newer one. applyOutages() does the same for
 /// outages, and returns whether the list of data centres changed.
-bool offerRoutes(RouteTable& current, RouteTable next);
-bool offerOutages(OutageView& current, OutageView next);
+bool applyRoutes(RouteTable& current, RouteTable next);
+bool applyOutages(OutageView& current, OutageView next);
 
 }
--- a/src/libdecision/storereaders.cpp
+++ b/src/libdecision/storereaders.cpp
@@ -6,51 +6,51 @@
 
 namespace {
 
-    bool isFresh(const StoreReaders& state, const StoreReaders::Known& reader, Millis now)
+    bool isFresh(const StoreReaders& state, const StoreReaders::ReaderState& reader, Millis now)
     {
-        return now - reader.grewAt <= state.options.freshness;
+        return now - reader.increasedAt <= state.options.freshness;
     }
 
-    bool follows(const StoreReaders& state, const StoreReaders::Known& reader, Millis now)
+    bool isFollowing(const StoreReaders& state, const StoreReaders::ReaderState& reader, Millis now)
     {
         return isFresh(state, reader, now) && !reader.hasStopped;
     }
 
 }
 
-void takeBeat(StoreReaders& state, const ReaderBeat& beat, Millis now)
+void recordHeartbeat(StoreReaders& state, const ReaderHeartbeat& beat, Millis now)
 {
-    StoreReaders::Known& known = state.readers[beat.name];
+    StoreReaders::ReaderState& known = state.readers[beat.name];
     // A restarted reader counts from the beginning. While its old, higher number is still passed on, that one holds; a
     // lower number after that belongs to the new process.
     if (beat.beat <= known.beat && isFresh(state, known, now))
         return;
     if (beat.beat == known.beat)
         return;
-    known = { .beat = beat.beat, .grewAt = now, .hasStopped = beat.hasStopped };
+    known = { .beat = beat.beat, .increasedAt = now, .hasStopped = beat.hasStopped };
 }
 
 void beat(StoreReaders& state, const std::string& self, Millis now)
 {
-    takeBeat(state, { .name = self, .beat = state.readers[self].beat + 1 }, now);
+    recordHeartbeat(state, { .name = self, .beat = state.readers[self].beat + 1 }, now);
 }
 
-void stopBeating(StoreReaders& state, const std::string& self, Millis now)
+void announceStop(StoreReaders& state, const std::string& self, Millis now)
 {
-    takeBeat(state, { .name = self, .beat = state.readers[self].beat + 1, .hasStopped = true }, now);
+    recordHeartbeat(state, { .name = self, .beat = state.readers[self].beat + 1, .hasStopped = true }, now);
 }
 
-std::vector<ReaderBeat> freshBeats(const StoreReaders& state, Millis now)
+std::vector<ReaderHeartbeat> currentHeartbeats(const StoreReaders& state, Millis now)
 {
-    std::vector<ReaderBeat> beats;
+    std::vector<ReaderHeartbeat> heartbeats;
     std::size_t following = 0;
     std::size_t stopped = 0;
     for (const auto& [name, reader] : state.readers) {
         std::size_t& count = reader.hasStopped ? stopped : following;
-        if (isFresh(state, reader, now) && count++ < state.options.beatsPassedOn)
-            beats.push_back({ .name = name, .beat = reader.beat, .hasStopped = reader.hasStopped });
+        if (isFresh(state, reader, now) && count++ < state.options.maxHeartbeats)
+            heartbeats.push_back({ .name = name, .beat = reader.beat, .hasStopped = reader.hasStopped });
     }
-    return beats;
+    return heartbeats;
 }
 
 Millis firstReadDelay(const StoreReaderOptions& options, std::uint64_t id, double linkMegabits)
@@ -58,19 +58,19 @@
     constexpr double bitsPerByte = 8;
     constexpr double bitsPerMegabitAndMilli = 1000;
     const double readTime = options.firstReadBytes * bitsPerByte / (linkMegabits * bitsPerMegabitAndMilli);
-    return static_cast<Millis>(id % options.firstReadSpread) + std::min(static_cast<Millis>(readTime), options.longestLinkWait);
+    return static_cast<Millis>(id % options.firstReadSpread) + std::min(static_cast<Millis>(readTime), options.maxLinkWait);
 }
 
-Millis firstReadTurn(const StoreReaderOptions& options, std::size_t rank, bool isSeed)
+Millis firstReadRankDelay(const StoreReaderOptions& options, std::size_t rank, bool isSeed)
 {
     if (isSeed)
         return 0;
-    return std::min(static_cast<Millis>(rank + 1) * options.firstReadPerRank, options.longestWait);
+    return std::min(static_cast<Millis>(rank + 1) * options.firstReadPerRank, options.maxWait);
 }
 
-bool isFirstReadDue(const StoreReaderOptions& options, Millis sinceStart, Millis delay, bool isPeerTelling)
+bool isFirstReadDue(const StoreReaderOptions& options, Millis sinceStart, Millis delay, bool isPeerTransferring)
 {
-    return sinceStart >= (isPeerTelling ? std::max(delay, options.longestWait) : delay);
+    return sinceStart >= (isPeerTransferring ? std::max(delay, options.maxWait) : delay);
 }
 
 bool shouldRead(StoreReaders& state, const std::string& self, bool isReading, std::size_t rank, Millis now)
@@ -78,7 +78,7 @@
     std::size_t others = 0;
     std::size_t othersBelow = 0;
     for (const auto& [name, reader] : state.readers) {
-        if (name == self || !follows(state, reader, now))
+        if (name == self || !isFollowing(state, reader, now))
             continue;
         ++others;
         othersBelow += name < self ? 1 : 0;
@@ -91,7 +91,7 @@
     }
     if (state.tooFewSince == 0)
         state.tooFewSince = now;
-    const Millis wait = std::min(static_cast<Millis>(rank) * state.options.waitPerRank, state.options.longestWait);
+    const Millis wait = std::min(static_cast<Millis>(rank) * state.options.waitPerRank, state.options.maxWait);
     return now - state.tooFewSince >= wait;
 }
 
--- a/src/libdecision/storereaders.h
+++ b/src/libdecision/storereaders.h
@@ -10,12 +10,12 @@
 
 /// A heartbeat of a process that follows the store. The number increases while the process is up to date with the store,
 /// and once more when it stops following it.
-struct ReaderBeat {
+struct ReaderHeartbeat {
     std::string name;
     std::uint64_t beat = 0;
     bool hasStopped = false;
 
-    bool operator==(const ReaderBeat&) const = default;
+    bool operator==(const ReaderHeartbeat&) const = default;
 };
 
 struct StoreReaderOptions {
@@ -29,16 +29,16 @@
     /// by all of them.
     Millis waitPerRank = 120;
     /// Maximum of that wait, in milliseconds. A third of the time in which a change has to be in force everywhere (3 s).
-    Millis longestWait = 1000;
+    Millis maxWait = 1000;
     /// Processes without a view spread their first read of the store over this time after their start, in milliseconds.
     std::uint64_t firstReadSpread = 20;
     /// A process that is not a configured seed delays its first read by this time for each process that ranks before it and
     /// for itself, in milliseconds.
     Millis firstReadPerRank = 20;
     /// Maximum delay of the first read because of a slow link, in milliseconds.
-    Millis longestLinkWait = 250;
+    Millis maxLinkWait = 250;
     /// Maximum number of heartbeats of followers, and of stopped followers, in one message.
-    std::size_t beatsPassedOn = 6;
+    std::size_t maxHeartbeats = 6;
     /// Size of the first read of the store, in bytes: a configuration of 1,200 routes.
     double firstReadBytes = 250000;
 };
@@ -46,29 +46,29 @@
 /// The processes that follow the store, as known to one process. There is no agreement on them: each process decides by the
 /// heartbeats that it receives, and when gossip is lost there are more readers for a while, which only costs calls.
 struct StoreReaders {
-    struct Known {
+    struct ReaderState {
         std::uint64_t beat = 0;
-        Millis grewAt = 0;
+        Millis increasedAt = 0;
         bool hasStopped = false;
     };
     StoreReaderOptions options;
-    std::map<std::string, Known> readers;
+    std::map<std::string, ReaderState> readers;
     /// Since when fewer than the wanted number of readers are known; 0 while there are enough.
     Millis tooFewSince = 0;
 };
 
 /// Records a heartbeat that was received by gossip.
-void takeBeat(StoreReaders&, const ReaderBeat&, Millis now);
+void recordHeartbeat(StoreReaders&, const ReaderHeartbeat&, Millis now);
 
 /// Increases this process's own heartbeat number.
 void beat(StoreReaders&, const std::string& self, Millis now);
 
 /// The heartbeats to pass on: of the followers of lowest name, who continue when there are too many, and of those that have
 /// stopped.
-std::vector<ReaderBeat> freshBeats(const StoreReaders&, Millis now);
+std::vector<ReaderHeartbeat> currentHeartbeats(const StoreReaders&, Millis now);
 
 /// Announces that this process no longer follows the store, so that others need not wait until its heartbeats are missed.
-void stopBeating(StoreReaders&, const std::string& self, Millis now);
+void announceStop(StoreReaders&, const std::string& self, Millis now);
 
 /// How long a process without a view leaves reading the store to others after its start, in milliseconds. The delay grows
 /// with the time that the read takes on the process's link. After a power failure callers return at once, also to hosts on
@@ -79,11 +79,11 @@
 /// The additional delay of the first read when `rank` candidates come before this process, in milliseconds. After a power
 /// failure or a restart of all processes nobody has a view. Without this delay each balancer would read the whole store
 /// just when it has come back and announce itself as a reader, and every gossip message would list all of them.
-Millis firstReadTurn(const StoreReaderOptions&, std::size_t rank, bool isSeed);
+Millis firstReadRankDelay(const StoreReaderOptions&, std::size_t rank, bool isSeed);
 
 /// Whether a process without a view reads the store now. `sinceStart` is the time since its start and `delay` its own
-/// delay, in milliseconds. While a peer transfers its view, the read is postponed to `longestWait`.
-bool isFirstReadDue(const StoreReaderOptions&, Millis sinceStart, Millis delay, bool isPeerTelling);
+/// delay, in milliseconds. While a peer transfers its view, the read is postponed to `maxWait`.
+bool isFirstReadDue(const StoreReaderOptions&, Millis sinceStart, Millis delay, bool isPeerTransferring);
 
 /// Whether `self` should follow the store. A reader continues unless enough others of lower name follow it. Any other
 /// process starts when there have been too few readers for as long as its rank among the candidates requires.
--- a/src/libdecision/formerflows.h
+++ b/src/libdecision/untrackedflows.h
@@ -1,61 +1,61 @@
 #pragma once
 
-#include "opengate.h"
+#include "flowadmission.h"
 
 namespace kingcuptrail {
 
-struct FormerFlowsOptions {
+struct UntrackedFlowsOptions {
     /// If the upstream started at most this long before its agent, or later, no earlier agent process has served it, in
     /// milliseconds. An agent that exits is restarted after a delay, so an earlier one would have had to start, serve and
     /// exit within this time.
-    std::uint64_t bornBeforeLimit = 150;
+    std::uint64_t startBeforeLimit = 150;
     /// Number of reports that such an upstream may have sent before its agent listened. The limit also bounds the effect of
     /// a clock that was set back between both starts, which makes an older upstream look new.
-    std::uint64_t reportsInVain = 3;
+    std::uint64_t maxMissedReports = 3;
     /// If no report arrives, the agent tries to connect to its upstream after this long, in milliseconds. A new upstream
     /// reports at once.
-    Millis firstConnection = 200;
+    Millis firstConnectDelay = 200;
     /// The same delay after the last report, in milliseconds. Longer than a heartbeat interval.
-    Millis laterConnection = 2000;
+    Millis laterConnectDelay = 2000;
     /// Number of refused connections, and minimum time between the first and the last in milliseconds, after which the
     /// upstream counts as gone. At least two, since an upstream that starts begins to listen a moment later.
-    std::uint32_t refusalsNeeded = 2;
+    std::uint32_t minRefusals = 2;
     Millis refusalSpan = 100;
     /// An upstream that has sent nothing for this long counts as gone, in milliseconds of the agent's running time. Longer
     /// than several heartbeat intervals, since a heartbeat may wait a second for an answer on a dead connection.
     Millis silenceLimit = 4000;
-    /// The time between two calls of noteListening() counts up to this limit, in milliseconds. A longer gap means that the
+    /// The time between two calls of recordListening() counts up to this limit, in milliseconds. A longer gap means that the
     /// process was paused and did not listen.
-    Millis longestGap = 200;
+    Millis maxGap = 200;
 };
 
 /// Decides whether the upstream may hold flows from before the agent's start, which the agent has not seen. After a power
 /// failure of all hosts some agents start without an upstream, because it was being stopped, or receive its second report
 /// first. Unless such an agent can deny a flow, no search for a lost flow in the deployment ends with certainty, and the
 /// callers of lost flows wait for their deadlines.
-struct FormerFlows {
-    FormerFlowsOptions options;
+struct UntrackedFlows {
+    UntrackedFlowsOptions options;
     /// The process's start in Unix milliseconds, comparable with the start time in the upstream's reports.
     std::uint64_t startedAtWall = 0;
     bool hasReport = false;
     /// Every flow of the upstream was opened through this process.
-    bool isProvedNew = false;
+    bool isKnownNew = false;
     /// No upstream process is running that could hold a flow.
     bool isGone = false;
     std::uint32_t refusals = 0;
     Millis firstRefusalAt = 0;
     Millis lastRefusalAt = 0;
     /// A connection was accepted or timed out, so only the silence limit can show that the upstream is gone.
-    bool isAnybodyThere = false;
-    Millis listenedAt = 0;
+    bool isPresent = false;
+    Millis lastListenedAt = 0;
     Millis silence = 0;
 };
 
 /// Records a report that is not stale. `isNewProcess` tells that the report before it came from another process.
-void takeSignOfLife(FormerFlows&, const UpstreamReport&, bool isNewProcess);
+void recordReport(UntrackedFlows&, const UpstreamReport&, bool isNewProcess);
 
 /// Records the upstream's notice that it shuts down.
-void takeEnd(FormerFlows&);
+void recordShutdown(UntrackedFlows&);
 
 enum class ConnectionOutcome : std::uint8_t {
     Accepted,
@@ -64,20 +64,20 @@
 };
 
 /// Records the outcome of a connection attempt to the upstream.
-void noteConnection(FormerFlows&, ConnectionOutcome, Millis now);
+void recordConnection(UntrackedFlows&, ConnectionOutcome, Millis now);
 
 /// Adds the time since the last call to the upstream's silence; to be called several times a second. Returns true when the
 /// upstream is first found to be gone.
-bool noteListening(FormerFlows&, Millis now);
+bool recordListening(UntrackedFlows&, Millis now);
 
 /// Whether refused connections may soon show that there is no upstream: no report has arrived and no connection was
 /// accepted.
-bool mayTurnOutGone(const FormerFlows&);
+bool mayBeFoundGone(const UntrackedFlows&);
 
 /// Whether to try a connection to the upstream now.
-bool shouldConnect(const FormerFlows&);
+bool shouldConnect(const UntrackedFlows&);
 
 /// Whether the upstream holds no flow that this process has not seen.
-bool knowsEveryFlow(const FormerFlows&);
+bool knowsEveryFlow(const UntrackedFlows&);
 
 }
--- a/src/libdecision/upstreamhealth.h
+++ b/src/libdecision/upstreamhealth.h
@@ -7,17 +7,17 @@
 struct UpstreamHealthOptions {
     /// Number of consecutive requests reset without an answer after which the upstream counts as failing. More than one,
     /// since a request may cross the upstream's close of an idle flow; low, since each one costs a caller its request.
-    unsigned failuresNeeded = 3;
+    unsigned failureThreshold = 3;
     /// Number of requests that must be unanswered for the callers' latency target before the upstream counts as hanging.
     /// More than one, since the rest of a request may have been lost on its way.
-    unsigned unansweredNeeded = 3;
+    unsigned hangThreshold = 3;
     /// For this long after the last failure a single reset request is enough, in milliseconds. An upstream that has just
     /// recovered often fails again, in cycles of several seconds.
     Millis probation = 5000;
-    /// How long a failing upstream gets no opening before one is sent as a trial, in milliseconds. Starts at `firstTrial`,
-    /// doubles with each trial up to `longestTrial`, which stays well below the several seconds of a restart.
-    Millis firstTrial = 100;
-    Millis longestTrial = 800;
+    /// How long a failing upstream gets no opening before one is sent as a trial, in milliseconds. Starts at `minTrialInterval`,
+    /// doubles with each trial up to `maxTrialInterval`, which stays well below the several seconds of a restart.
+    Millis minTrialInterval = 100;
+    Millis maxTrialInterval = 800;
 };
 
 /// Whether an upstream answers the requests that it accepts, judged by the packets that pass its agent. A broken upstream
@@ -38,25 +38,25 @@
 };
 
 /// Records that the upstream answered a request.
-void noteAnswered(UpstreamHealth&);
+void recordAnswered(UpstreamHealth&);
 
 /// Records that the upstream reset a request without an answer. Returns whether it became failing.
-bool noteBrokenOff(UpstreamHealth&, Millis now);
+bool recordAborted(UpstreamHealth&, Millis now);
 
 /// Records that a request was sent to the upstream.
-void noteRequest(UpstreamHealth&, Millis now);
+void recordRequest(UpstreamHealth&, Millis now);
 
 /// Checks whether the upstream hangs, given that callers expect answers within `latencyTarget`. Returns whether it became
 /// failing.
-bool reviewUnanswered(UpstreamHealth&, Millis latencyTarget, Millis now);
+bool detectHang(UpstreamHealth&, Millis latencyTarget, Millis now);
 
 /// Clears the unanswered requests when a new process reports for the upstream, since the previous one will not answer them.
-void forgetRequests(UpstreamHealth&);
+void clearUnanswered(UpstreamHealth&);
 
 /// Whether an opening may be sent to the upstream now: always when it is healthy, and as a trial when it is failing.
-bool mayOpen(const UpstreamHealth&, Millis now);
+bool acceptsOpening(const UpstreamHealth&, Millis now);
 
 /// Records that an opening is sent to the upstream. For a failing upstream it is a trial and postpones the next one.
-void noteOpening(UpstreamHealth&, Millis now);
+void recordOpening(UpstreamHealth&, Millis now);
 
 }
--- a/src/libdecision/viewfetching.h
+++ b/src/libdecision/viewfetchlimiter.h
@@ -7,7 +7,7 @@
 
 namespace kingcuptrail {
 
-struct ViewFetchingOptions {
+struct ViewFetchLimiterOptions {
     /// Minimum time between two fetches of a configuration, in milliseconds, since several peers announce the same new
     /// version. Shorter than the time within which a process must follow a version that has taken effect elsewhere.
     Millis routesInterval = 100;
@@ -23,8 +23,8 @@
 };
 
 /// Limits how often a process fetches parts of its view from peers.
-struct ViewFetching {
-    ViewFetchingOptions options;
+struct ViewFetchLimiter {
+    ViewFetchLimiterOptions options;
     Millis startedAt = 0;
     std::optional<Millis> routesFetchedAt;
     std::optional<Millis> directoryFetchedAt;
@@ -32,9 +32,9 @@
 
 /// Whether to fetch the configuration from a peer that has version `offered`; if so, records the fetch. A process without a
 /// configuration does not wait for the interval, since callers wait for it, and fetches the directory together with it.
-bool beginRoutesFetch(ViewFetching&, ConfigVersion own, ConfigVersion offered, Millis now);
+bool tryBeginRoutesFetch(ViewFetchLimiter&, ConfigVersion own, ConfigVersion offered, Millis now);
 
 /// Whether to fetch the directory, which has `entries` entries here; if so, records the fetch.
-bool beginDirectoryFetch(ViewFetching&, std::size_t entries, Millis now);
+bool tryBeginDirectoryFetch(ViewFetchLimiter&, std::size_t entries, Millis now);
 
 }
--- a/src/libplatform/deploymentadapter.h
+++ b/src/libplatform/deploymentadapter.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "libdecision/opengate.h"
+#include "libdecision/flowadmission.h"
 #include "libdecision/packet.h"
 #include "libhttp/http.h"
 #include "storedialect.h"
@@ -48,7 +48,7 @@
 /// Everything that is specific to one deployment environment: the packet format, the upstreams' reports, the store's API and
 /// the operators' objects in it. The functions only encode and decode; they are stateless and make no decisions.
 struct DeploymentAdapter {
-    std::optional<PacketHead> (*decodePacket)(std::span<const std::uint8_t> packet, DecodeError& error) = nullptr;
+    std::optional<PacketHeader> (*decodePacket)(std::span<const std::uint8_t> packet, DecodeError& error) = nullptr;
     /// Writes the mark, which an upstream leaves in place when it returns the packet.
     void (*setMark)(std::span<std::uint8_t> packet, std::uint32_t mark) = nullptr;
     /// Restores the packet to the form in which its sender wrote it.
--- a/src/libprotocol/peermessage.cpp
+++ b/src/libprotocol/peermessage.cpp
@@ -52,7 +52,7 @@
         message.flow = toFlow(*flow);
     if (const auto* load = table->load())
         message.load = { .atWork = load->at_work(), .slots = load->slots(), .usual = load->usual(), .isCold = load->cold() };
-    message.refusal = fromNumber<OpenRefusal>(table->reason()).value_or(OpenRefusal::None);
+    message.refusal = fromNumber<OpeningRefusal>(table->reason()).value_or(OpeningRefusal::None);
     if (const auto* packet = table->packet())
         message.packet = { packet->data(), packet->size() };
     if (const auto* excluded = table->excluded())
@@ -107,7 +107,7 @@
         entries.push_back(pack(m_builder, entry));
     const auto packedEntries = m_builder.CreateVector(entries);
     std::vector<flatbuffers::Offset<wire::StoreReader>> readers;
-    for (const ReaderBeat& reader : message.readers)
+    for (const ReaderHeartbeat& reader : message.readers)
         readers.push_back(wire::CreateStoreReaderDirect(m_builder, reader.name.c_str(), reader.beat, reader.hasStopped));
     const auto packedReaders = m_builder.CreateVector(readers);
     flatbuffers::Offset<wire::Outages> outages;
@@ -201,9 +201,9 @@
     return packed ? std::vector<std::uint32_t>(packed->begin(), packed->end()) : std::vector<std::uint32_t> {};
 }
 
-std::vector<ReaderBeat> readersOf(const PeerMessage& message)
+std::vector<ReaderHeartbeat> readersOf(const PeerMessage& message)
 {
-    std::vector<ReaderBeat> readers;
+    std::vector<ReaderHeartbeat> readers;
     if (const auto* packed = message.table->readers()) {
         for (const wire::StoreReader* reader : *packed)
             readers.push_back({ .name = textOf(reader->name()), .beat = reader->beat(), .hasStopped = reader->stopped() });
--- a/src/libprotocol/peermessage.h
+++ b/src/libprotocol/peermessage.h
@@ -3,7 +3,7 @@
 #include "framing.h"
 #include "libdecision/agentchoice.h"
 #include "libdecision/agentflows.h"
-#include "libdecision/opengate.h"
+#include "libdecision/flowadmission.h"
 #include "libdecision/storereaders.h"
 #include <peer_generated.h>
 
@@ -14,7 +14,7 @@
     wire::PeerKind kind = wire::PeerKind::News;
     FlowKey flow;
     AgentLoad load;
-    OpenRefusal refusal = OpenRefusal::None;
+    OpeningRefusal refusal = OpeningRefusal::None;
     ConfigVersion configVersion = 0;
     /// Of Find and FindNear: the acknowledgement number of the caller's packet.
     std::uint32_t acknowledged = 0;
@@ -42,7 +42,7 @@
 struct FlowMessage {
     wire::PeerKind kind = wire::PeerKind::Open;
     FlowKey flow;
-    OpenRefusal refusal = OpenRefusal::None;
+    OpeningRefusal refusal = OpeningRefusal::None;
     ConfigVersion configVersion = 0;
     std::uint32_t acknowledged = 0;
     std::uint64_t digest = 0;
@@ -61,7 +61,7 @@
     std::uint64_t agentsDigest = 0;
     const OutageView* outages = nullptr;
     std::vector<PeerEntry> entries;
-    std::vector<ReaderBeat> readers;
+    std::vector<ReaderHeartbeat> readers;
     bool wantsAnswer = false;
 };
 
@@ -97,7 +97,7 @@
 /// The digests in a DirectoryDigests message.
 std::vector<std::uint32_t> digestsOf(const PeerMessage&);
 /// The heartbeats of the store's readers in a News message.
-std::vector<ReaderBeat> readersOf(const PeerMessage&);
+std::vector<ReaderHeartbeat> readersOf(const PeerMessage&);
 /// The outages in a News message; empty when it has none.
 std::optional<OutageView> outagesOf(const PeerMessage&);
 
--- a/tests/ctl/testexplanations.cpp
+++ b/tests/ctl/testexplanations.cpp
@@ -40,7 +40,7 @@
     void everyReasonIsExplained()
     {
         assertExplained<RefusalReason>();
-        assertExplained<OpenRefusal>();
+        assertExplained<OpeningRefusal>();
         assertExplained<LinkError>();
         assertExplained<PlatformError>();
         assertExplained<HttpError>();
--- a/tests/decision/testguards.cpp
+++ b/tests/decision/testguards.cpp
@@ -3,7 +3,7 @@
 #include "libdecision/configorder.h"
 #include "libdecision/drain.h"
 #include "libdecision/forwarding.h"
-#include "libdecision/pausewatch.h"
+#include "libdecision/pausedetector.h"
 #include "libdecision/placing.h"
 
 #include <array>
@@ -54,14 +54,14 @@
     // wait on its links before the message that says so.
     void packetsAreHeldAfterAPause()
     {
-        PauseWatch watch;
-        const PauseOptions options { .longestGap = 1000, .hold = 300 };
-        noteRunning(watch, options, 0);
-        noteRunning(watch, options, 1000);
-        CPPUNIT_ASSERT(!holdsPackets(watch, 1000));
-        noteRunning(watch, options, 6000);
-        CPPUNIT_ASSERT(holdsPackets(watch, 6299));
-        CPPUNIT_ASSERT(!holdsPackets(watch, 6300));
+        PauseDetector watch;
+        const PauseDetectorOptions options { .maxGap = 1000, .dropTime = 300 };
+        recordRun(watch, options, 0);
+        recordRun(watch, options, 1000);
+        CPPUNIT_ASSERT(!isDroppingPackets(watch, 1000));
+        recordRun(watch, options, 6000);
+        CPPUNIT_ASSERT(isDroppingPackets(watch, 6299));
+        CPPUNIT_ASSERT(!isDroppingPackets(watch, 6300));
     }
 
     // Guards against placement by stale load. A balancer with thousands of links gets load reports only every 90 s, and all
--- a/tests/packets/packetfixtures.h
+++ b/tests/packets/packetfixtures.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "libdecision/agentflows.h"
-#include "libdecision/opengate.h"
+#include "libdecision/flowadmission.h"
 
 namespace kingcuptrail {
 
@@ -11,23 +11,23 @@
     return { .caller = { .address = 0x64400007, .port = caller }, .service = { .address = 0xc6120001, .port = 443 } };
 }
 
-inline PacketHead opening()
+inline PacketHeader opening()
 {
     return { .flags = { .opens = true }, .sequence = 100 };
 }
 
 /// A caller's packet with `dataLength` bytes that acknowledges `acknowledged`.
-inline PacketHead callerPacket(std::uint32_t acknowledged, std::uint16_t dataLength = 0)
+inline PacketHeader callerPacket(std::uint32_t acknowledged, std::uint16_t dataLength = 0)
 {
     return { .flags = { .acknowledges = true }, .sequence = 101, .acknowledged = acknowledged, .dataLength = dataLength };
 }
 
-inline PacketHead upstreamAnswer(std::uint32_t sequence)
+inline PacketHeader upstreamAnswer(std::uint32_t sequence)
 {
     return { .flags = { .opens = true, .acknowledges = true }, .sequence = sequence, .acknowledged = 101 };
 }
 
-inline PacketHead upstreamData(std::uint16_t dataLength)
+inline PacketHeader upstreamData(std::uint16_t dataLength)
 {
     return { .flags = { .acknowledges = true }, .sequence = 501, .acknowledged = 200, .dataLength = dataLength };
 }
@@ -36,8 +36,8 @@
 inline void openFlow(AgentFlows& table, const FlowKey& flow, Millis now)
 {
     beginFlow(table, flow, now);
-    takeUpstreamPacket(table, flow, upstreamAnswer(500), now);
-    takeCallerPacket(table, flow, callerPacket(501), now);
+    trackUpstreamPacket(table, flow, upstreamAnswer(500), now);
+    trackCallerPacket(table, flow, callerPacket(501), now);
 }
 
 inline RouteTable routesTo(const std::string& service, ConfigVersion version)
--- a/tests/packets/testadmissionqueue.cpp
+++ b/tests/packets/testadmissionqueue.cpp
@@ -12,9 +12,9 @@
 class TestAdmissionQueue : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(TestAdmissionQueue);
     CPPUNIT_TEST(ordersByTimeLeftAndUrgency);
-    CPPUNIT_TEST(boundsWhatWaits);
+    CPPUNIT_TEST(queueIsBounded);
     CPPUNIT_TEST(copyDoesNotWaitTwice);
-    CPPUNIT_TEST(copyIsAsOldAsItsNumberTells);
+    CPPUNIT_TEST(copyNumberGivesMinimumAge);
     CPPUNIT_TEST(backlogDoesNotMakeNewRequestsLate);
     CPPUNIT_TEST_SUITE_END();
 
@@ -32,19 +32,19 @@
         enqueue(queue, openingAt(4, 210, 1), 5);
         enqueue(queue, openingAt(5, 220, 1), 5);
         for (const std::uint16_t expected : { 5, 4, 3, 2, 1 })
-            CPPUNIT_ASSERT_EQUAL(expected, takeNext(queue, 250)->flow.caller.port);
-        CPPUNIT_ASSERT(!takeNext(queue, 250));
+            CPPUNIT_ASSERT_EQUAL(expected, popNext(queue, 250)->flow.caller.port);
+        CPPUNIT_ASSERT(!popNext(queue, 250));
     }
 
-    void boundsWhatWaits()
+    void queueIsBounded()
     {
         AdmissionQueue queue;
         const std::size_t most = queue.options.waitingPerSlot;
         for (std::size_t caller = 0; caller < most; ++caller)
             CPPUNIT_ASSERT(enqueue(queue, openingAt(static_cast<std::uint16_t>(caller), 0), 1));
         CPPUNIT_ASSERT(!enqueue(queue, openingAt(999, 0), 1));
-        CPPUNIT_ASSERT(takeExpired(queue, queue.options.longestWait).empty());
-        CPPUNIT_ASSERT_EQUAL(most, takeExpired(queue, queue.options.longestWait + 1).size());
+        CPPUNIT_ASSERT(removeExpired(queue, queue.options.maxWait).empty());
+        CPPUNIT_ASSERT_EQUAL(most, removeExpired(queue, queue.options.maxWait + 1).size());
         CPPUNIT_ASSERT(queue.waiting.empty());
     }
 
@@ -53,29 +53,29 @@
         AdmissionQueue queue;
         enqueue(queue, openingAt(1, 0), 5);
         enqueue(queue, openingAt(2, 50), 5);
-        CPPUNIT_ASSERT(takeCopy(queue, flowOf(1), 200));
-        CPPUNIT_ASSERT(!takeCopy(queue, flowOf(3), 200));
+        CPPUNIT_ASSERT(recordCopy(queue, flowOf(1), 200));
+        CPPUNIT_ASSERT(!recordCopy(queue, flowOf(3), 200));
         CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, queue.waiting.size());
         // A copy from its caller arrived later than the other caller's packet.
-        CPPUNIT_ASSERT_EQUAL(std::uint16_t { 1 }, takeNext(queue, 400)->flow.caller.port);
+        CPPUNIT_ASSERT_EQUAL(std::uint16_t { 1 }, popNext(queue, 400)->flow.caller.port);
     }
 
     // Guards against admitting a caller's last copy before another caller's first packet: the copy's caller gives up
     // sooner, so its answer would be late.
-    void copyIsAsOldAsItsNumberTells()
+    void copyNumberGivesMinimumAge()
     {
-        CPPUNIT_ASSERT_EQUAL(Millis { 0 }, leastAgeOf(0));
-        CPPUNIT_ASSERT_EQUAL(Millis { 200 }, leastAgeOf(1));
-        CPPUNIT_ASSERT_EQUAL(Millis { 600 }, leastAgeOf(2));
+        CPPUNIT_ASSERT_EQUAL(Millis { 0 }, minOpeningAge(0));
+        CPPUNIT_ASSERT_EQUAL(Millis { 200 }, minOpeningAge(1));
+        CPPUNIT_ASSERT_EQUAL(Millis { 600 }, minOpeningAge(2));
         AdmissionQueue queue;
         WaitingOpening first = openingAt(1, 1000);
-        WaitingOpening copy = openingAt(2, 1000 - leastAgeOf(2));
+        WaitingOpening copy = openingAt(2, 1000 - minOpeningAge(2));
         copy.arrivedAt = 1050;
         enqueue(queue, first, 5);
         enqueue(queue, copy, 5);
-        CPPUNIT_ASSERT_EQUAL(std::uint16_t { 1 }, takeNext(queue, 1060)->flow.caller.port);
+        CPPUNIT_ASSERT_EQUAL(std::uint16_t { 1 }, popNext(queue, 1060)->flow.caller.port);
         // The copy's caller gives up 600 ms before one that has just sent its first packet.
-        CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, takeExpired(queue, 1050 + queue.options.longestWait - 600).size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, removeExpired(queue, 1050 + queue.options.maxWait - 600).size());
     }
 
     struct Outcome {
@@ -85,17 +85,17 @@
     };
 
     /// Takes the next opening in the queue's order, or the oldest one.
-    static std::optional<WaitingOpening> takeFrom(AdmissionQueue& queue, bool newestFirst, Millis now)
+    static std::optional<WaitingOpening> popFrom(AdmissionQueue& queue, bool newestFirst, Millis now)
     {
         if (newestFirst || queue.waiting.empty())
-            return takeNext(queue, now);
+            return popNext(queue, now);
         WaitingOpening first = std::move(queue.waiting.front());
         queue.waiting.erase(queue.waiting.begin());
         return first;
     }
 
     /// Simulates the load with one queue for all upstreams.
-    static Outcome workOff(bool newestFirst)
+    static Outcome simulate(bool newestFirst)
     {
         constexpr Millis length = 3000;
         constexpr Millis work = 64;
@@ -106,7 +106,7 @@
         constexpr Millis newEvery = 3;
         Outcome outcome;
         AdmissionQueue queue;
-        queue.options.longestWait = length;
+        queue.options.maxWait = length;
         std::uint16_t caller = 0;
         std::multimap<Millis, WaitingOpening> running;
         for (Millis now = 0; now < length; ++now) {
@@ -123,7 +123,7 @@
                 running.erase(running.begin());
             }
             while (running.size() < slots && !queue.waiting.empty())
-                running.emplace(now + work, *takeFrom(queue, newestFirst, now));
+                running.emplace(now + work, *popFrom(queue, newestFirst, now));
         }
         return outcome;
     }
@@ -132,8 +132,8 @@
     // behind the backlog, for more than a second after everything is up again.
     void backlogDoesNotMakeNewRequestsLate()
     {
-        const Outcome inOrder = workOff(false);
-        const Outcome newestFirst = workOff(true);
+        const Outcome inOrder = simulate(false);
+        const Outcome newestFirst = simulate(true);
         CPPUNIT_ASSERT(newestFirst.newInTime > 9 * newestFirst.newAsked / 10);
         CPPUNIT_ASSERT(inOrder.newInTime < 6 * inOrder.newAsked / 10);
         CPPUNIT_ASSERT(newestFirst.answered > 9 * inOrder.answered / 10);
--- a/tests/packets/testagentflows.cpp
+++ b/tests/packets/testagentflows.cpp
@@ -7,17 +7,17 @@
 class TestAgentFlows : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(TestAgentFlows);
     CPPUNIT_TEST(flowOpensAndCloses);
-    CPPUNIT_TEST(answerThatTheCallerDidNotTakeOwnsNothing);
-    CPPUNIT_TEST(restartedAgentAsksItsUpstream);
+    CPPUNIT_TEST(upstreamWithoutAcceptedAnswerDoesNotOwnTheFlow);
+    CPPUNIT_TEST(restartedAgentDeliversToLearn);
     CPPUNIT_TEST(probeOfAKnownFlowIsAnswered);
-    CPPUNIT_TEST(keptPacketsTeachTheirFlow);
-    CPPUNIT_TEST(tableIsCompleteWhenWhatIsMissingMustBeIdle);
+    CPPUNIT_TEST(acceptedPacketAddsItsFlow);
+    CPPUNIT_TEST(tableIsCompleteAfterTheIdleLimit);
     CPPUNIT_TEST(newUpstreamProcessLosesEveryFlow);
     CPPUNIT_TEST(uncompletedOpeningsAreNotReset);
     CPPUNIT_TEST(workIsCountedFromRequestToAnswer);
-    CPPUNIT_TEST(resentRequestsAreNoNewWork);
+    CPPUNIT_TEST(resentRequestsDoNotCountAsWork);
     CPPUNIT_TEST(abandonedOpeningsDoNotKeepSlots);
-    CPPUNIT_TEST(sweepForgetsWhatIsOver);
+    CPPUNIT_TEST(sweepRemovesExpiredFlows);
     CPPUNIT_TEST_SUITE_END();
 
     static AgentFlows completeTable()
@@ -33,45 +33,45 @@
         const FlowKey flow = flowOf(1);
         openFlow(table, flow, 10);
         CPPUNIT_ASSERT_EQUAL(1U, table.open);
-        PacketHead last = callerPacket(502);
+        PacketHeader last = callerPacket(502);
         last.flags.ends = true;
-        CPPUNIT_ASSERT(takeCallerPacket(table, flow, last, 20) == CallerPacketAction::Deliver);
-        PacketHead lastBack = upstreamData(0);
+        CPPUNIT_ASSERT(trackCallerPacket(table, flow, last, 20) == CallerPacketAction::Deliver);
+        PacketHeader lastBack = upstreamData(0);
         lastBack.flags.ends = true;
-        takeUpstreamPacket(table, flow, lastBack, 21);
+        trackUpstreamPacket(table, flow, lastBack, 21);
         CPPUNIT_ASSERT_EQUAL(0U, table.open);
         // Late packets of both ends still find the flow.
-        CPPUNIT_ASSERT(takeCallerPacket(table, flow, last, 30) == CallerPacketAction::Deliver);
+        CPPUNIT_ASSERT(trackCallerPacket(table, flow, last, 30) == CallerPacketAction::Deliver);
     }
 
     // A copy of the opening packet is admitted at a second upstream, but the caller accepts the answer of the first. Guards
     // against delivering the caller's request at the second agent: its upstream would return every packet and the flow
     // would stall.
-    void answerThatTheCallerDidNotTakeOwnsNothing()
+    void upstreamWithoutAcceptedAnswerDoesNotOwnTheFlow()
     {
         AgentFlows table = completeTable();
         const FlowKey flow = flowOf(2);
         beginFlow(table, flow, 10);
-        CPPUNIT_ASSERT(takeCallerPacket(table, flow, callerPacket(901), 11) == CallerPacketAction::NotHeld);
-        takeUpstreamPacket(table, flow, upstreamAnswer(500), 12);
-        CPPUNIT_ASSERT(takeCallerPacket(table, flow, callerPacket(900000), 13) == CallerPacketAction::NotHeld);
-        CPPUNIT_ASSERT(answerHolderQuestion(table, flow, 900000, 13) == HolderAnswer::NotHeld);
-        CPPUNIT_ASSERT(answerHolderQuestion(table, flow, 501, 13) == HolderAnswer::Held);
-        CPPUNIT_ASSERT(takeCallerPacket(table, flow, callerPacket(501), 14) == CallerPacketAction::Deliver);
+        CPPUNIT_ASSERT(trackCallerPacket(table, flow, callerPacket(901), 11) == CallerPacketAction::NotHeld);
+        trackUpstreamPacket(table, flow, upstreamAnswer(500), 12);
+        CPPUNIT_ASSERT(trackCallerPacket(table, flow, callerPacket(900000), 13) == CallerPacketAction::NotHeld);
+        CPPUNIT_ASSERT(answerHolderQuery(table, flow, 900000, 13) == HolderAnswer::NotHeld);
+        CPPUNIT_ASSERT(answerHolderQuery(table, flow, 501, 13) == HolderAnswer::Held);
+        CPPUNIT_ASSERT(trackCallerPacket(table, flow, callerPacket(501), 14) == CallerPacketAction::Deliver);
     }
 
     // An agent is restarted while its upstream keeps running with all its flows. Guards against denying these flows, which
     // would reset them; the packet is delivered to find out whether the upstream holds the flow.
-    void restartedAgentAsksItsUpstream()
+    void restartedAgentDeliversToLearn()
     {
         AgentFlows table;
         table.completeAt = 20000;
         const FlowKey flow = flowOf(3);
-        CPPUNIT_ASSERT(takeCallerPacket(table, flow, callerPacket(700, 50), 10) == CallerPacketAction::DeliverToLearn);
-        CPPUNIT_ASSERT(answerHolderQuestion(table, flow, 700, 10) == HolderAnswer::Unsure);
-        CPPUNIT_ASSERT(takeUpstreamPacket(table, flow, upstreamData(50), 12).isLearnt);
-        CPPUNIT_ASSERT(takeCallerPacket(table, flow, callerPacket(750), 13) == CallerPacketAction::Deliver);
-        CPPUNIT_ASSERT(answerHolderQuestion(table, flow, 750, 13) == HolderAnswer::Held);
+        CPPUNIT_ASSERT(trackCallerPacket(table, flow, callerPacket(700, 50), 10) == CallerPacketAction::DeliverToLearn);
+        CPPUNIT_ASSERT(answerHolderQuery(table, flow, 700, 10) == HolderAnswer::Unsure);
+        CPPUNIT_ASSERT(trackUpstreamPacket(table, flow, upstreamData(50), 12).isLearnt);
+        CPPUNIT_ASSERT(trackCallerPacket(table, flow, callerPacket(750), 13) == CallerPacketAction::Deliver);
+        CPPUNIT_ASSERT(answerHolderQuery(table, flow, 750, 13) == HolderAnswer::Held);
     }
 
     // After a restart of all balancers and agents, an agent has learnt a flow from one packet, and a balancer that does not
@@ -81,30 +81,30 @@
     {
         AgentFlows table;
         table.completeAt = 20000;
-        CPPUNIT_ASSERT(!answerToProbe(takeCallerPacket(table, flowOf(3), callerPacket(640, 10), 10)));
+        CPPUNIT_ASSERT(!answerToProbe(trackCallerPacket(table, flowOf(3), callerPacket(640, 10), 10)));
         learnFlow(table, flowOf(3), 640, 22);
-        CPPUNIT_ASSERT(answerToProbe(takeCallerPacket(table, flowOf(3), callerPacket(640, 20), 30)) == HolderAnswer::Held);
+        CPPUNIT_ASSERT(answerToProbe(trackCallerPacket(table, flowOf(3), callerPacket(640, 20), 30)) == HolderAnswer::Held);
         table.isComplete = true;
-        CPPUNIT_ASSERT(answerToProbe(takeCallerPacket(table, flowOf(4), callerPacket(640, 10), 40)) == HolderAnswer::NotHeld);
+        CPPUNIT_ASSERT(answerToProbe(trackCallerPacket(table, flowOf(4), callerPacket(640, 10), 40)) == HolderAnswer::NotHeld);
     }
 
     // A packet that the upstream accepts without returning it shows that the upstream holds the flow.
-    void keptPacketsTeachTheirFlow()
+    void acceptedPacketAddsItsFlow()
     {
         AgentFlows table;
         table.completeAt = 20000;
         learnFlow(table, flowOf(3), 640, 10);
-        CPPUNIT_ASSERT(takeCallerPacket(table, flowOf(3), callerPacket(640, 10), 11) == CallerPacketAction::Deliver);
+        CPPUNIT_ASSERT(trackCallerPacket(table, flowOf(3), callerPacket(640, 10), 11) == CallerPacketAction::Deliver);
         CPPUNIT_ASSERT_EQUAL(1U, table.open);
-        CPPUNIT_ASSERT_EQUAL(640U, takeLostFlows(table).front().callerAcknowledged);
+        CPPUNIT_ASSERT_EQUAL(640U, extractLostFlows(table).front().callerAcknowledged);
     }
 
-    void tableIsCompleteWhenWhatIsMissingMustBeIdle()
+    void tableIsCompleteAfterTheIdleLimit()
     {
         AgentFlows table;
         table.completeAt = 20000;
-        CPPUNIT_ASSERT(answerHolderQuestion(table, flowOf(4), 1, 19999) == HolderAnswer::Unsure);
-        CPPUNIT_ASSERT(answerHolderQuestion(table, flowOf(4), 1, 20000) == HolderAnswer::NotHeld);
+        CPPUNIT_ASSERT(answerHolderQuery(table, flowOf(4), 1, 19999) == HolderAnswer::Unsure);
+        CPPUNIT_ASSERT(answerHolderQuery(table, flowOf(4), 1, 20000) == HolderAnswer::NotHeld);
     }
 
     // When a new upstream process reports, all flows of the previous one are lost. Guards against callers that wait for
@@ -113,13 +113,13 @@
     {
         AgentFlows table;
         openFlow(table, flowOf(5), 10);
-        takeCallerPacket(table, flowOf(5), callerPacket(640, 100), 11);
-        const auto lost = takeLostFlows(table);
+        trackCallerPacket(table, flowOf(5), callerPacket(640, 100), 11);
+        const auto lost = extractLostFlows(table);
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, lost.size());
         CPPUNIT_ASSERT(lost.front().flow == flowOf(5) && lost.front().callerAcknowledged == 640);
         CPPUNIT_ASSERT_EQUAL(0U, table.open);
         CPPUNIT_ASSERT_EQUAL(0U, table.atWork);
-        CPPUNIT_ASSERT(answerHolderQuestion(table, flowOf(5), 640, 20) == HolderAnswer::NotHeld);
+        CPPUNIT_ASSERT(answerHolderQuery(table, flowOf(5), 640, 20) == HolderAnswer::NotHeld);
     }
 
     // A balancer is paused with an opening packet in its socket, and the caller's copy opens the flow at another upstream
@@ -129,37 +129,37 @@
     {
         AgentFlows table;
         beginFlow(table, flowOf(6), 12);
-        takeUpstreamPacket(table, flowOf(6), upstreamAnswer(500), 13);
-        CPPUNIT_ASSERT(takeLostFlows(table).empty());
+        trackUpstreamPacket(table, flowOf(6), upstreamAnswer(500), 13);
+        CPPUNIT_ASSERT(extractLostFlows(table).empty());
     }
 
     void workIsCountedFromRequestToAnswer()
     {
         AgentFlows table = completeTable();
         openFlow(table, flowOf(7), 10);
-        takeCallerPacket(table, flowOf(7), callerPacket(501, 900), 11);
+        trackCallerPacket(table, flowOf(7), callerPacket(501, 900), 11);
         CPPUNIT_ASSERT_EQUAL(1U, table.atWork);
-        takeUpstreamPacket(table, flowOf(7), upstreamData(600), 50);
+        trackUpstreamPacket(table, flowOf(7), upstreamData(600), 50);
         CPPUNIT_ASSERT_EQUAL(0U, table.atWork);
-        takeCallerPacket(table, flowOf(7), callerPacket(1101), 51);
+        trackCallerPacket(table, flowOf(7), callerPacket(1101), 51);
         CPPUNIT_ASSERT_EQUAL(0U, table.atWork);
     }
 
     // After a restart of all agents within half a second, callers resend requests whose answers are already under way.
     // Guards against counting them as new work that is never answered: agents were then busy for 1.5 s, and openings
     // expired beside idle upstreams.
-    void resentRequestsAreNoNewWork()
+    void resentRequestsDoNotCountAsWork()
     {
         AgentFlows table;
         table.completeAt = 20000;
-        PacketHead answer = upstreamData(600);
+        PacketHeader answer = upstreamData(600);
         answer.acknowledged = 201;
-        takeUpstreamPacket(table, flowOf(8), answer, 10);
-        takeCallerPacket(table, flowOf(8), callerPacket(501, 100), 11);
+        trackUpstreamPacket(table, flowOf(8), answer, 10);
+        trackCallerPacket(table, flowOf(8), callerPacket(501, 100), 11);
         CPPUNIT_ASSERT_EQUAL(0U, table.atWork);
-        PacketHead next = callerPacket(1101, 100);
+        PacketHeader next = callerPacket(1101, 100);
         next.sequence = 201;
-        takeCallerPacket(table, flowOf(8), next, 12);
+        trackCallerPacket(table, flowOf(8), next, 12);
         CPPUNIT_ASSERT_EQUAL(1U, table.atWork);
     }
 
@@ -173,18 +173,18 @@
             beginFlow(table, flowOf(caller), 10);
         CPPUNIT_ASSERT_EQUAL(10U, table.atWork);
         for (std::uint16_t caller = 1; caller <= 10; ++caller)
-            takeUpstreamPacket(table, flowOf(caller), upstreamAnswer(500), 150);
-        expireWork(table, 10 + table.options.openingWork);
+            trackUpstreamPacket(table, flowOf(caller), upstreamAnswer(500), 150);
+        expireWork(table, 10 + table.options.openingWorkTime);
         CPPUNIT_ASSERT_EQUAL(0U, table.atWork);
         openFlow(table, flowOf(11), 200);
-        takeCallerPacket(table, flowOf(11), callerPacket(501, 900), 201);
-        expireWork(table, 201 + table.options.requestWork - 1);
+        trackCallerPacket(table, flowOf(11), callerPacket(501, 900), 201);
+        expireWork(table, 201 + table.options.requestWorkTime - 1);
         CPPUNIT_ASSERT_EQUAL(1U, table.atWork);
-        expireWork(table, 201 + table.options.requestWork);
+        expireWork(table, 201 + table.options.requestWorkTime);
         CPPUNIT_ASSERT_EQUAL(0U, table.atWork);
     }
 
-    void sweepForgetsWhatIsOver()
+    void sweepRemovesExpiredFlows()
     {
         AgentFlows table = completeTable();
         for (std::uint16_t caller = 1; caller <= 100; ++caller)
--- a/tests/packets/testbalancing.cpp
+++ b/tests/packets/testbalancing.cpp
@@ -9,18 +9,18 @@
 
 class TestBalancing : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(TestBalancing);
-    CPPUNIT_TEST(nearAgentWhileItHasRoom);
+    CPPUNIT_TEST(nearAgentIsPreferredWhileItHasCapacity);
     CPPUNIT_TEST(silentAgentComesLast);
     CPPUNIT_TEST(equalAgentsShareFlows);
-    CPPUNIT_TEST(flowIsLostOnlyWhenEverybodySaysSo);
-    CPPUNIT_TEST(agentsHeardOfDuringTheSearchAreAskedToo);
+    CPPUNIT_TEST(flowIsLostOnlyWhenAllAgentsDeny);
+    CPPUNIT_TEST(agentsLearntDuringTheSearchAreAsked);
     CPPUNIT_TEST(holderEndsTheSearch);
-    CPPUNIT_TEST(lateYesCounts);
-    CPPUNIT_TEST(unsureAgentsThatStaySilentAreMissing);
-    CPPUNIT_TEST(newerEntryStands);
+    CPPUNIT_TEST(lateHeldAnswerCounts);
+    CPPUNIT_TEST(unsureAgentsCountAsUnanswered);
+    CPPUNIT_TEST(higherEpochWins);
     CPPUNIT_TEST(agentsAreListedUnderTheirService);
-    CPPUNIT_TEST(whatALeaverCouldNotWithdrawIsLeftBehind);
-    CPPUNIT_TEST(agentsAreAgreedOnWhileTheRestDiffers);
+    CPPUNIT_TEST(listingOfAGoneAgentIsStale);
+    CPPUNIT_TEST(agentsDigestIgnoresBalancersAndEpochs);
     CPPUNIT_TEST(weightsShareFlows);
     CPPUNIT_TEST_SUITE_END();
 
@@ -34,7 +34,7 @@
         return chooseAgents(flowOf(1), candidates, {}, 0).front();
     }
 
-    void nearAgentWhileItHasRoom()
+    void nearAgentIsPreferredWhileItHasCapacity()
     {
         CPPUNIT_ASSERT_EQUAL(1U, best({ candidate(1, true, 1), candidate(2, false, 0) }));
         CPPUNIT_ASSERT_EQUAL(2U, best({ candidate(1, true, 4), candidate(2, false, 0) }));
@@ -62,73 +62,73 @@
 
     // A balancer searches for a flow whose agent is cut off, and the other agents deny the flow. Guards against a reset of
     // a flow that its upstream still holds.
-    void flowIsLostOnlyWhenEverybodySaysSo()
+    void flowIsLostOnlyWhenAllAgentsDeny()
     {
         HolderSearch search = beginSearch({ 1, 2, 3 }, 0);
-        CPPUNIT_ASSERT(takeAnswer(search, 1, HolderAnswer::NotHeld) == SearchState::Asking);
-        CPPUNIT_ASSERT(takeAnswer(search, 2, HolderAnswer::Unsure) == SearchState::Asking);
-        CPPUNIT_ASSERT(takeAnswer(search, 9, HolderAnswer::NotHeld) == SearchState::Asking);
-        CPPUNIT_ASSERT(takeAnswer(search, 2, HolderAnswer::NotHeld) == SearchState::Asking);
-        CPPUNIT_ASSERT(takeAnswer(search, 3, HolderAnswer::NotHeld) == SearchState::HeldByNobody);
+        CPPUNIT_ASSERT(recordAnswer(search, 1, HolderAnswer::NotHeld) == SearchState::Asking);
+        CPPUNIT_ASSERT(recordAnswer(search, 2, HolderAnswer::Unsure) == SearchState::Asking);
+        CPPUNIT_ASSERT(recordAnswer(search, 9, HolderAnswer::NotHeld) == SearchState::Asking);
+        CPPUNIT_ASSERT(recordAnswer(search, 2, HolderAnswer::NotHeld) == SearchState::Asking);
+        CPPUNIT_ASSERT(recordAnswer(search, 3, HolderAnswer::NotHeld) == SearchState::HeldByNobody);
         HolderSearch nobody = beginSearch({}, 0);
         CPPUNIT_ASSERT(nobody.state == SearchState::Asking);
     }
 
     // A restarted balancer gets a packet after 12 ms, when it knows one agent, which denies the flow. Guards against a
     // reset when the list of agents is complete by the time of that answer although the holder was never asked.
-    void agentsHeardOfDuringTheSearchAreAskedToo()
+    void agentsLearntDuringTheSearchAreAsked()
     {
         HolderSearch search = beginSearch({ 1 }, 0);
-        CPPUNIT_ASSERT(takeAnswer(search, 1, HolderAnswer::NotHeld) == SearchState::HeldByNobody);
+        CPPUNIT_ASSERT(recordAnswer(search, 1, HolderAnswer::NotHeld) == SearchState::HeldByNobody);
         const std::vector<std::uint32_t> agents { 1, 2, 3 };
-        CPPUNIT_ASSERT((askMissing(search, agents) == std::vector<std::uint32_t> { 2, 3 }));
-        CPPUNIT_ASSERT(takeAnswer(search, 2, HolderAnswer::NotHeld) == SearchState::Asking);
-        CPPUNIT_ASSERT(takeAnswer(search, 3, HolderAnswer::Held) == SearchState::Found);
+        CPPUNIT_ASSERT((addMissingAgents(search, agents) == std::vector<std::uint32_t> { 2, 3 }));
+        CPPUNIT_ASSERT(recordAnswer(search, 2, HolderAnswer::NotHeld) == SearchState::Asking);
+        CPPUNIT_ASSERT(recordAnswer(search, 3, HolderAnswer::Held) == SearchState::Found);
         CPPUNIT_ASSERT_EQUAL(3U, search.holder);
-        CPPUNIT_ASSERT(askMissing(search, agents).empty());
+        CPPUNIT_ASSERT(addMissingAgents(search, agents).empty());
     }
 
     void holderEndsTheSearch()
     {
         HolderSearch search = beginSearch({ 1, 2 }, 0);
-        CPPUNIT_ASSERT(takeAnswer(search, 7, HolderAnswer::Held) == SearchState::Found);
+        CPPUNIT_ASSERT(recordAnswer(search, 7, HolderAnswer::Held) == SearchState::Found);
         CPPUNIT_ASSERT_EQUAL(7U, search.holder);
-        CPPUNIT_ASSERT(takeAnswer(search, 1, HolderAnswer::NotHeld) == SearchState::Found);
+        CPPUNIT_ASSERT(recordAnswer(search, 1, HolderAnswer::NotHeld) == SearchState::Found);
     }
 
     // All agents that were asked have denied the flow, and the search waits for a peer to confirm the list of agents.
     // Guards against ignoring the holder, which had been presumed gone and answers now.
-    void lateYesCounts()
+    void lateHeldAnswerCounts()
     {
         HolderSearch search = beginSearch({ 1, 2 }, 0);
-        takeAnswer(search, 1, HolderAnswer::NotHeld);
-        CPPUNIT_ASSERT(takeAnswer(search, 2, HolderAnswer::NotHeld) == SearchState::HeldByNobody);
-        CPPUNIT_ASSERT(takeAnswer(search, 3, HolderAnswer::Unsure) == SearchState::HeldByNobody);
-        CPPUNIT_ASSERT(takeAnswer(search, 3, HolderAnswer::Held) == SearchState::Found);
+        recordAnswer(search, 1, HolderAnswer::NotHeld);
+        CPPUNIT_ASSERT(recordAnswer(search, 2, HolderAnswer::NotHeld) == SearchState::HeldByNobody);
+        CPPUNIT_ASSERT(recordAnswer(search, 3, HolderAnswer::Unsure) == SearchState::HeldByNobody);
+        CPPUNIT_ASSERT(recordAnswer(search, 3, HolderAnswer::Held) == SearchState::Found);
         CPPUNIT_ASSERT_EQUAL(3U, search.holder);
     }
 
     // Hosts are removed while all processes are being restarted. A neighbour that is unsure answers for their agents, and
     // these are sent the packet but never answer. Guards against treating them as unsure for good: their silence went
     // unnoticed, and each search waited for them.
-    void unsureAgentsThatStaySilentAreMissing()
+    void unsureAgentsCountAsUnanswered()
     {
         HolderSearch search = beginSearch({ 1, 2, 3 }, 0);
-        takeAnswer(search, 1, HolderAnswer::Unsure);
-        takeAnswer(search, 2, HolderAnswer::NotHeld);
-        CPPUNIT_ASSERT((unansweredIn(search) == std::vector<std::uint32_t> { 3, 1 }));
-        takeAnswer(search, 1, HolderAnswer::NotHeld);
-        CPPUNIT_ASSERT((unansweredIn(search) == std::vector<std::uint32_t> { 3 }));
+        recordAnswer(search, 1, HolderAnswer::Unsure);
+        recordAnswer(search, 2, HolderAnswer::NotHeld);
+        CPPUNIT_ASSERT((agentsWithoutDenial(search) == std::vector<std::uint32_t> { 3, 1 }));
+        recordAnswer(search, 1, HolderAnswer::NotHeld);
+        CPPUNIT_ASSERT((agentsWithoutDenial(search) == std::vector<std::uint32_t> { 3 }));
     }
 
-    void newerEntryStands()
+    void higherEpochWins()
     {
         Directory directory;
-        CPPUNIT_ASSERT(offerEntry(directory, { .name = "a", .address = 1, .epoch = 5 }));
+        CPPUNIT_ASSERT(applyEntry(directory, { .name = "a", .address = 1, .epoch = 5 }));
         const std::uint64_t digest = digestOf(directory);
-        CPPUNIT_ASSERT(!offerEntry(directory, { .name = "a", .address = 2, .epoch = 5 }));
+        CPPUNIT_ASSERT(!applyEntry(directory, { .name = "a", .address = 2, .epoch = 5 }));
         CPPUNIT_ASSERT_EQUAL(digest, digestOf(directory));
-        CPPUNIT_ASSERT(offerEntry(directory, { .name = "a", .address = 2, .state = PeerState::Gone, .epoch = 6 }));
+        CPPUNIT_ASSERT(applyEntry(directory, { .name = "a", .address = 2, .state = PeerState::Gone, .epoch = 6 }));
         CPPUNIT_ASSERT(digest != digestOf(directory));
         CPPUNIT_ASSERT(!findByAddress(directory, 2));
     }
@@ -138,35 +138,35 @@
     void agentsAreListedUnderTheirService()
     {
         Directory directory;
-        offerEntry(directory, { .name = "a", .address = 1, .service = "board", .epoch = 1 });
-        offerEntry(directory, { .name = "b", .address = 2, .service = "board", .epoch = 1 });
-        offerEntry(directory, { .name = "front", .role = PeerRole::Balancer, .address = 3, .epoch = 1 });
+        applyEntry(directory, { .name = "a", .address = 1, .service = "board", .epoch = 1 });
+        applyEntry(directory, { .name = "b", .address = 2, .service = "board", .epoch = 1 });
+        applyEntry(directory, { .name = "front", .role = PeerRole::Balancer, .address = 3, .epoch = 1 });
         CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, readyAgentsOf(directory, "board").size());
-        offerEntry(directory, { .name = "a", .address = 1, .service = "intake", .epoch = 2 });
+        applyEntry(directory, { .name = "a", .address = 1, .service = "intake", .epoch = 2 });
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, readyAgentsOf(directory, "board").size());
         CPPUNIT_ASSERT_EQUAL(std::string("a"), readyAgentsOf(directory, "intake").front()->name);
-        offerEntry(directory, { .name = "a", .address = 1, .service = "intake", .state = PeerState::Draining, .epoch = 3 });
+        applyEntry(directory, { .name = "a", .address = 1, .service = "intake", .state = PeerState::Draining, .epoch = 3 });
         CPPUNIT_ASSERT(readyAgentsOf(directory, "intake").empty());
-        CPPUNIT_ASSERT(!offerEntry(directory, { .name = "a", .address = 1, .service = "intake", .epoch = 2 }));
+        CPPUNIT_ASSERT(!applyEntry(directory, { .name = "a", .address = 1, .service = "intake", .epoch = 2 }));
         CPPUNIT_ASSERT(readyAgentsOf(directory, "intake").empty());
-        offerEntry(directory, { .name = "a", .address = 1, .service = "intake", .epoch = 4 });
+        applyEntry(directory, { .name = "a", .address = 1, .service = "intake", .epoch = 4 });
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, readyAgentsOf(directory, "intake").size());
     }
 
     // The store rejects a leaving agent's requests until its process has to end, so its announcement stays although its
     // peers know that it is gone. Guards against processes that start later and rely on it. An announcement that was
     // written again since then counts.
-    void whatALeaverCouldNotWithdrawIsLeftBehind()
+    void listingOfAGoneAgentIsStale()
     {
         Directory directory;
         PeerEntry listed { .name = "a", .address = 1, .service = "board", .epoch = 5 };
-        offerEntry(directory, listed);
-        CPPUNIT_ASSERT(!isLeftBehind(directory, listed));
-        offerEntry(directory, { .name = "a", .address = 1, .service = "board", .state = PeerState::Gone, .epoch = 6 });
-        CPPUNIT_ASSERT(isLeftBehind(directory, listed));
+        applyEntry(directory, listed);
+        CPPUNIT_ASSERT(!isStaleListing(directory, listed));
+        applyEntry(directory, { .name = "a", .address = 1, .service = "board", .state = PeerState::Gone, .epoch = 6 });
+        CPPUNIT_ASSERT(isStaleListing(directory, listed));
         listed.epoch = 7;
-        CPPUNIT_ASSERT(!isLeftBehind(directory, listed));
-        CPPUNIT_ASSERT(!isLeftBehind(directory, { .name = "b", .epoch = 1 }));
+        CPPUNIT_ASSERT(!isStaleListing(directory, listed));
+        CPPUNIT_ASSERT(!isStaleListing(directory, { .name = "b", .epoch = 1 }));
     }
 
     void weightsShareFlows()
@@ -184,26 +184,26 @@
 
     // After a power failure processes learn of each other step by step. The agents to ask about a flow are the same in two
     // directories long before these are equal: balancers, epochs and agents that are gone don't count.
-    void agentsAreAgreedOnWhileTheRestDiffers()
+    void agentsDigestIgnoresBalancersAndEpochs()
     {
         const PeerEntry agent { .name = "agent-1", .address = 1, .dataCentre = "north", .epoch = 5 };
         Directory one;
-        offerEntry(one, agent);
+        applyEntry(one, agent);
         Directory other = one;
-        offerEntry(other, { .name = "front-1", .role = PeerRole::Balancer, .address = 9, .dataCentre = "north", .epoch = 1 });
+        applyEntry(other, { .name = "front-1", .role = PeerRole::Balancer, .address = 9, .dataCentre = "north", .epoch = 1 });
         PeerEntry again = agent;
         again.epoch = 6;
         again.state = PeerState::Draining;
-        offerEntry(other, again);
+        applyEntry(other, again);
         CPPUNIT_ASSERT(digestOf(one) != digestOf(other));
         CPPUNIT_ASSERT_EQUAL(agentsDigestOf(one), agentsDigestOf(other));
 
-        offerEntry(other, { .name = "agent-2", .address = 2, .dataCentre = "south", .epoch = 1 });
+        applyEntry(other, { .name = "agent-2", .address = 2, .dataCentre = "south", .epoch = 1 });
         CPPUNIT_ASSERT(agentsDigestOf(one) != agentsDigestOf(other));
         CPPUNIT_ASSERT_EQUAL(agentsDigestOf(one, "north", {}), agentsDigestOf(other, "north", {}));
         const std::vector<std::uint32_t> excluded { 2 };
         CPPUNIT_ASSERT_EQUAL(agentsDigestOf(one, "south", {}), agentsDigestOf(other, "south", excluded));
-        offerEntry(other, { .name = "agent-2", .address = 2, .dataCentre = "south", .state = PeerState::Gone, .epoch = 2 });
+        applyEntry(other, { .name = "agent-2", .address = 2, .dataCentre = "south", .state = PeerState::Gone, .epoch = 2 });
         CPPUNIT_ASSERT_EQUAL(agentsDigestOf(one), agentsDigestOf(other));
     }
 };
--- a/tests/packets/testdirectoryagreement.cpp
+++ b/tests/packets/testdirectoryagreement.cpp
@@ -6,9 +6,9 @@
 
 class TestDirectoryAgreement : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(TestDirectoryAgreement);
-    CPPUNIT_TEST(newAgentThatPeersKnowEndsAgreement);
+    CPPUNIT_TEST(differentDigestEndsAgreement);
     CPPUNIT_TEST(agreementComesBackWithTheSameDirectory);
-    CPPUNIT_TEST(oldWordDoesNotCount);
+    CPPUNIT_TEST(oldDigestDoesNotCount);
     CPPUNIT_TEST(pauseEndsAgreement);
     CPPUNIT_TEST_SUITE_END();
 
@@ -16,12 +16,12 @@
     // opened there has its next packet arrive at this one, and all agents that it knows deny the flow. Guards against a
     // reset a quarter of a second after the flow opened: a peer that lacked the announcement too had sent an equal digest a
     // second before, and the different digests that arrived since must cancel it.
-    void newAgentThatPeersKnowEndsAgreement()
+    void differentDigestEndsAgreement()
     {
         DirectoryAgreement agreement;
-        takeDirectoryWord(agreement, true, 1000);
+        recordPeerDigest(agreement, true, 1000);
         CPPUNIT_ASSERT(isAgreed(agreement, 1500));
-        takeDirectoryWord(agreement, false, 1560);
+        recordPeerDigest(agreement, false, 1560);
         CPPUNIT_ASSERT(!isAgreed(agreement, 1561));
         CPPUNIT_ASSERT(!isAgreed(agreement, 1900));
     }
@@ -30,24 +30,24 @@
     {
         DirectoryAgreement agreement;
         CPPUNIT_ASSERT(!isAgreed(agreement, 0));
-        takeDirectoryWord(agreement, false, 1000);
-        takeDirectoryWord(agreement, true, 1100);
+        recordPeerDigest(agreement, false, 1000);
+        recordPeerDigest(agreement, true, 1100);
         CPPUNIT_ASSERT(isAgreed(agreement, 1101));
     }
 
-    void oldWordDoesNotCount()
+    void oldDigestDoesNotCount()
     {
         DirectoryAgreement agreement;
-        takeDirectoryWord(agreement, true, 1000);
-        CPPUNIT_ASSERT(!isAgreed(agreement, 1000 + agreement.options.wordTime));
+        recordPeerDigest(agreement, true, 1000);
+        CPPUNIT_ASSERT(!isAgreed(agreement, 1000 + agreement.options.digestValidity));
     }
 
     // A balancer's host is suspended and resumes. Digests from before say nothing about agents that started meanwhile.
     void pauseEndsAgreement()
     {
         DirectoryAgreement agreement;
-        takeDirectoryWord(agreement, true, 1000);
-        forgetAgreement(agreement);
+        recordPeerDigest(agreement, true, 1000);
+        resetAgreement(agreement);
         CPPUNIT_ASSERT(!isAgreed(agreement, 1001));
     }
 };
--- a/tests/packets/testbusyagents.cpp
+++ b/tests/packets/testofferpolicy.cpp
@@ -1,25 +1,25 @@
-#include "libdecision/busyagents.h"
+#include "libdecision/offerpolicy.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
 using namespace kingcuptrail;
 
 /// All agents of a service are full, and openings keep arriving.
-class TestBusyAgents : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(TestBusyAgents);
-    CPPUNIT_TEST(openingThatNobodyTakesCostsFewMessages);
+class TestOfferPolicy : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(TestOfferPolicy);
+    CPPUNIT_TEST(offersPerOpeningAreBounded);
     CPPUNIT_TEST(freeSlotIsAskedForWhileSomeHaveOne);
-    CPPUNIT_TEST(lateAnswerBetweenTwoRoundsAsksAgain);
+    CPPUNIT_TEST(lateAnswerBetweenRoundsOffersAgain);
     CPPUNIT_TEST_SUITE_END();
 
     // Guards against offering each opening to all agents, one after the other.
-    void openingThatNobodyTakesCostsFewMessages()
+    void offersPerOpeningAreBounded()
     {
         for (const double busyShare : { 0.0, 1.0 }) {
-            const BusyAgents state { .busyShare = busyShare };
+            const OfferPolicy state { .busyShare = busyShare };
             std::uint32_t offers = 1;
             std::uint32_t busyAgents = 1;
-            while (stepAfterBusy(state, busyAgents, offers) != BusyStep::Refuse) {
+            while (nextOfferStep(state, busyAgents, offers) != OfferStep::Refuse) {
                 ++offers;
                 ++busyAgents;
             }
@@ -30,25 +30,25 @@
     // Guards against openings that wait at the first agent while another one has a free slot.
     void freeSlotIsAskedForWhileSomeHaveOne()
     {
-        BusyAgents state;
+        OfferPolicy state;
         CPPUNIT_ASSERT(needsFreeSlot(state, 0));
-        CPPUNIT_ASSERT(stepAfterBusy(state, 1, 1) == BusyStep::AskNext);
+        CPPUNIT_ASSERT(nextOfferStep(state, 1, 1) == OfferStep::AskNext);
         CPPUNIT_ASSERT(needsFreeSlot(state, 1));
-        CPPUNIT_ASSERT(stepAfterBusy(state, 2, 2) == BusyStep::WaitAtLeastLoaded);
+        CPPUNIT_ASSERT(nextOfferStep(state, 2, 2) == OfferStep::WaitAtLeastLoaded);
         CPPUNIT_ASSERT(!needsFreeSlot(state, 2));
         for (int opening = 0; opening < 100; ++opening)
-            noteSlotQuestion(state, true);
+            recordSlotOffer(state, true);
         CPPUNIT_ASSERT(!needsFreeSlot(state, 0));
         for (int opening = 0; opening < 100; ++opening)
-            noteSlotQuestion(state, false);
+            recordSlotOffer(state, false);
         CPPUNIT_ASSERT(needsFreeSlot(state, 0));
     }
 
     // Guards against choosing the least loaded of no agents when an answer arrives after its round has ended.
-    void lateAnswerBetweenTwoRoundsAsksAgain()
+    void lateAnswerBetweenRoundsOffersAgain()
     {
-        CPPUNIT_ASSERT(stepAfterBusy({}, 2, 0) == BusyStep::AskNext);
+        CPPUNIT_ASSERT(nextOfferStep({}, 2, 0) == OfferStep::AskNext);
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(TestBusyAgents);
+CPPUNIT_TEST_SUITE_REGISTRATION(TestOfferPolicy);
--- a/tests/packets/testpeermessage.cpp
+++ b/tests/packets/testpeermessage.cpp
@@ -9,11 +9,11 @@
 
 class TestPeerMessage : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(TestPeerMessage);
-    CPPUNIT_TEST(flowMessageComesBackAsSent);
-    CPPUNIT_TEST(newsComesBackAsSent);
-    CPPUNIT_TEST(nearAnswerAndDigestsComeBackAsSent);
-    CPPUNIT_TEST(bytesFromAnybodyAreRefusedNotRead);
-    CPPUNIT_TEST(viewComesBackAsSent);
+    CPPUNIT_TEST(flowMessageRoundTrips);
+    CPPUNIT_TEST(newsRoundTrips);
+    CPPUNIT_TEST(nearAnswerAndDigestsRoundTrip);
+    CPPUNIT_TEST(malformedMessagesAreRejected);
+    CPPUNIT_TEST(viewRoundTrips);
     CPPUNIT_TEST_SUITE_END();
 
     static PeerEntry entry()
@@ -21,21 +21,21 @@
         return { .name = "agent-1", .role = PeerRole::Agent, .address = 7, .dataCentre = "north", .service = "board", .state = PeerState::Draining, .slots = 5, .epoch = 9 };
     }
 
-    void flowMessageComesBackAsSent()
+    void flowMessageRoundTrips()
     {
         PeerMessageEncoder encoder;
         const AgentLoad load { .atWork = 3, .slots = 5, .usual = 0.5F, .isCold = true };
         const std::vector<std::uint8_t> packet { 1, 2, 3 };
-        const auto bytes = encoder.encode(FlowMessage { .kind = wire::PeerKind::Refused, .flow = flowOf(4), .refusal = OpenRefusal::Cold, .configVersion = 12, .acknowledged = 77, .load = &load, .packet = packet });
+        const auto bytes = encoder.encode(FlowMessage { .kind = wire::PeerKind::Refused, .flow = flowOf(4), .refusal = OpeningRefusal::Cold, .configVersion = 12, .acknowledged = 77, .load = &load, .packet = packet });
         FrameError error = FrameError::None;
         const auto message = decodePeerMessage(bytes, error);
         CPPUNIT_ASSERT(message && message->kind == wire::PeerKind::Refused && message->flow == flowOf(4));
-        CPPUNIT_ASSERT(message->refusal == OpenRefusal::Cold && message->configVersion == 12 && message->acknowledged == 77);
+        CPPUNIT_ASSERT(message->refusal == OpeningRefusal::Cold && message->configVersion == 12 && message->acknowledged == 77);
         CPPUNIT_ASSERT(message->load.atWork == 3 && message->load.slots == 5 && message->load.usual == 0.5F && message->load.isCold);
         CPPUNIT_ASSERT(std::ranges::equal(message->packet, packet));
     }
 
-    void newsComesBackAsSent()
+    void newsRoundTrips()
     {
         PeerMessageEncoder encoder;
         const OutageView outages { .revision = 8, .out = { "south" } };
@@ -47,7 +47,7 @@
         CPPUNIT_ASSERT(entriesOf(*message) == std::vector { entry() });
     }
 
-    void nearAnswerAndDigestsComeBackAsSent()
+    void nearAnswerAndDigestsRoundTrip()
     {
         PeerMessageEncoder encoder;
         const std::vector<std::uint32_t> open { 4 };
@@ -62,7 +62,7 @@
         CPPUNIT_ASSERT(digests->table->wants_answer() && digests->table->differs_much() && digestsOf(*digests) == denied);
     }
 
-    void bytesFromAnybodyAreRefusedNotRead()
+    void malformedMessagesAreRejected()
     {
         PeerMessageEncoder encoder;
         const auto sent = encoder.encode(FlowMessage { .kind = wire::PeerKind::Open, .flow = flowOf(4), .packet = std::vector<std::uint8_t>(36) });
@@ -81,7 +81,7 @@
         CPPUNIT_ASSERT(error == FrameError::Malformed);
     }
 
-    void viewComesBackAsSent()
+    void viewRoundTrips()
     {
         const DeploymentView view { .routes = routesTo("board", 4), .outages = { .revision = 2, .out = { "south" } }, .entries = { entry() } };
         FrameError error = FrameError::None;
--- a/tests/packets/testprobeplan.cpp
+++ b/tests/packets/testprobeplan.cpp
@@ -9,7 +9,7 @@
 /// A search in `centres` data centres with `agents` agents each. All agents are asked and become unsure.
 struct UnsureFleet {
     HolderSearch search;
-    AgentsByCentre asked;
+    AgentsByDataCentre asked;
     ProbePlan plan { .ownDataCentre = "dc0" };
 
     UnsureFleet(std::uint32_t centres, std::uint32_t agents)
@@ -34,17 +34,17 @@
 
     void becomeUnsure(std::uint32_t agent, const std::string& dataCentre, bool isOfService = true)
     {
-        takeAnswer(search, agent, HolderAnswer::Unsure);
-        addUnsure(plan, { .address = agent, .dataCentre = dataCentre, .isOfService = isOfService });
+        recordAnswer(search, agent, HolderAnswer::Unsure);
+        addUnsureAgent(plan, { .address = agent, .dataCentre = dataCentre, .isOfService = isOfService });
     }
 
-    void sayNo(const std::string& dataCentre)
+    void denyAll(const std::string& dataCentre)
     {
         for (const std::uint32_t agent : asked[dataCentre])
-            takeAnswer(search, agent, HolderAnswer::NotHeld);
+            recordAnswer(search, agent, HolderAnswer::NotHeld);
     }
 
-    std::vector<ProbeGroup> probe(bool isNearOverdue = false) { return takeProbes(plan, search, asked, isNearOverdue); }
+    std::vector<ProbeGroup> probe(bool isNearOverdue = false) { return nextProbes(plan, search, asked, isNearOverdue); }
 };
 
 /// Number of packets that the balancer itself sends for these probes.
@@ -52,7 +52,7 @@
 {
     std::size_t copies = 0;
     for (const ProbeGroup& group : groups)
-        copies += group.isThroughOne ? 1 : group.members.size();
+        copies += group.isForwarded ? 1 : group.members.size();
     return copies;
 }
 
@@ -62,13 +62,13 @@
     CPPUNIT_TEST_SUITE(TestProbePlan);
     CPPUNIT_TEST(copiesGrowWithDataCentresOnly);
     CPPUNIT_TEST(nearAgentsComeFirst);
-    CPPUNIT_TEST(farAgentsDoNotOvertakeNearOnes);
-    CPPUNIT_TEST(silentNeighbourhoodDoesNotHoldUpTheRest);
+    CPPUNIT_TEST(remoteAgentsWaitForNearOnes);
+    CPPUNIT_TEST(silentDataCentreDoesNotDelayOthers);
     CPPUNIT_TEST(otherServicesComeLast);
     CPPUNIT_TEST(agentsUnsureOneByOneGetOnePacket);
     CPPUNIT_TEST(fewAgentsAreProbedDirectly);
     CPPUNIT_TEST(lastOpenAgentsOfALargeCentreAreProbedDirectly);
-    CPPUNIT_TEST(differenceAboutOneAgentLeavesOnlyThatOneOpen);
+    CPPUNIT_TEST(disagreementLeavesOnlyOneAgentUndecided);
     CPPUNIT_TEST_SUITE_END();
 
     // All processes are restarted while the upstreams keep running, so no agent knows a flow. Guards against one copy of
@@ -98,16 +98,16 @@
         const std::vector<ProbeGroup> first = fleet.probe();
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, first.size());
         CPPUNIT_ASSERT_EQUAL(std::string("dc0"), first.front().dataCentre);
-        CPPUNIT_ASSERT(first.front().isThroughOne);
+        CPPUNIT_ASSERT(first.front().isForwarded);
         CPPUNIT_ASSERT(fleet.probe().empty());
-        fleet.sayNo("dc0");
+        fleet.denyAll("dc0");
         CPPUNIT_ASSERT_EQUAL(std::size_t { 2 }, copiesOf(fleet.probe()));
         CPPUNIT_ASSERT(fleet.probe().empty());
     }
 
     // The answer for another data centre arrives before that of the balancer's own one, whose agents are busier at that
     // moment.
-    void farAgentsDoNotOvertakeNearOnes()
+    void remoteAgentsWaitForNearOnes()
     {
         UnsureFleet fleet(2, 8);
         fleet.becomeUnsure("dc1");
@@ -118,7 +118,7 @@
 
     // The one agent that received the packet is stopped or overloaded. The flow may be in another data centre while its
     // caller waits.
-    void silentNeighbourhoodDoesNotHoldUpTheRest()
+    void silentDataCentreDoesNotDelayOthers()
     {
         UnsureFleet fleet(2, 8);
         fleet.becomeUnsure("dc0");
@@ -138,7 +138,7 @@
         fleet.becomeUnsure("dc1", false);
         CPPUNIT_ASSERT_EQUAL(std::string("dc0"), fleet.probe(true).front().dataCentre);
         CPPUNIT_ASSERT(fleet.probe(true).empty());
-        fleet.sayNo("dc0");
+        fleet.denyAll("dc0");
         CPPUNIT_ASSERT_EQUAL(std::string("dc1"), fleet.probe().front().dataCentre);
     }
 
@@ -163,7 +163,7 @@
         fleet.becomeUnsure("dc0");
         const std::vector<ProbeGroup> groups = fleet.probe();
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, groups.size());
-        CPPUNIT_ASSERT(!groups.front().isThroughOne);
+        CPPUNIT_ASSERT(!groups.front().isForwarded);
         CPPUNIT_ASSERT_EQUAL(std::size_t { 3 }, groups.front().members.size());
     }
 
@@ -176,37 +176,37 @@
         const std::uint32_t second = fleet.asked["dc0"][9];
         for (const std::uint32_t agent : fleet.asked["dc0"]) {
             if (agent != first && agent != second)
-                takeAnswer(fleet.search, agent, HolderAnswer::NotHeld);
+                recordAnswer(fleet.search, agent, HolderAnswer::NotHeld);
         }
         for (const std::uint32_t agent : { first, second }) {
             fleet.becomeUnsure(agent, "dc0");
             const std::vector<ProbeGroup> groups = fleet.probe();
             CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, groups.size());
-            CPPUNIT_ASSERT(!groups.front().isThroughOne && groups.front().members == std::vector { agent });
+            CPPUNIT_ASSERT(!groups.front().isForwarded && groups.front().members == std::vector { agent });
         }
     }
 
     // Guards against a whole data centre counting as unsure because two processes disagree about one of its agents. Agent 5
     // is unknown to the one that was asked, agent 6 is silent, agent 9 is known to it only, agent 4 was unsure and denies
     // the flow now.
-    void differenceAboutOneAgentLeavesOnlyThatOneOpen()
+    void disagreementLeavesOnlyOneAgentUndecided()
     {
         const std::vector<std::uint32_t> members { 1, 2, 3, 4, 5, 6 };
         HolderSearch search = beginSearch(members, 1000);
-        takeAnswer(search, 4, HolderAnswer::Unsure);
+        recordAnswer(search, 4, HolderAnswer::Unsure);
         const std::vector<std::uint32_t> denied { 1, 2, 3, 4 };
         const std::vector<std::uint32_t> open { 6, 9 };
-        const NearAnswer answer = sortNearAnswer(search, members, denied, open);
+        const DelegatedAnswer answer = classifyDelegatedAnswer(search, members, denied, open);
         CPPUNIT_ASSERT(answer.denied == denied);
         CPPUNIT_ASSERT(answer.open == std::vector<std::uint32_t> { 6 });
-        CPPUNIT_ASSERT(answer.unheard == std::vector<std::uint32_t> { 5 });
-        askMissing(search, open);
+        CPPUNIT_ASSERT(answer.unknown == std::vector<std::uint32_t> { 5 });
+        addMissingAgents(search, open);
         for (const std::uint32_t agent : answer.denied)
-            takeAnswer(search, agent, HolderAnswer::NotHeld);
-        CPPUNIT_ASSERT(unansweredIn(search) == (std::vector<std::uint32_t> { 5, 6, 9 }));
-        CPPUNIT_ASSERT(takeAnswer(search, 5, HolderAnswer::NotHeld) == SearchState::Asking);
-        CPPUNIT_ASSERT(takeAnswer(search, 6, HolderAnswer::NotHeld) == SearchState::Asking);
-        CPPUNIT_ASSERT(takeAnswer(search, 9, HolderAnswer::NotHeld) == SearchState::HeldByNobody);
+            recordAnswer(search, agent, HolderAnswer::NotHeld);
+        CPPUNIT_ASSERT(agentsWithoutDenial(search) == (std::vector<std::uint32_t> { 5, 6, 9 }));
+        CPPUNIT_ASSERT(recordAnswer(search, 5, HolderAnswer::NotHeld) == SearchState::Asking);
+        CPPUNIT_ASSERT(recordAnswer(search, 6, HolderAnswer::NotHeld) == SearchState::Asking);
+        CPPUNIT_ASSERT(recordAnswer(search, 9, HolderAnswer::NotHeld) == SearchState::HeldByNobody);
     }
 };
 
--- a/tests/packets/teststorereaders.cpp
+++ b/tests/packets/teststorereaders.cpp
@@ -11,17 +11,17 @@
     CPPUNIT_TEST(fleetSettlesOnAFewReaders);
     CPPUNIT_TEST(lostReaderIsReplacedByOne);
     CPPUNIT_TEST(readersThatStopAreReplacedAtOnce);
-    CPPUNIT_TEST(restartedReaderIsHeardAgain);
-    CPPUNIT_TEST(smallHostsLeaveTheFirstReadToOthers);
-    CPPUNIT_TEST(restartOfEverythingIsReadByAFew);
-    CPPUNIT_TEST(newsNamesAFewFollowersOnly);
-    CPPUNIT_TEST(storeIsLeftAloneWhileAPeerTells);
+    CPPUNIT_TEST(restartedReaderCountsAgain);
+    CPPUNIT_TEST(slowLinksDelayTheFirstRead);
+    CPPUNIT_TEST(fewProcessesReadAfterAFullRestart);
+    CPPUNIT_TEST(gossipListsFewReaders);
+    CPPUNIT_TEST(firstReadWaitsForAPeersTransfer);
     CPPUNIT_TEST_SUITE_END();
 
     // All hosts lose power and restart together. Balancers on links of 10 Mbit/s that read a configuration of 250 KB from
     // the store, besides the traffic of callers and peers, offered their first opening half a second after their start. On
     // a fast link the read took 16 ms.
-    void smallHostsLeaveTheFirstReadToOthers()
+    void slowLinksDelayTheFirstRead()
     {
         const StoreReaderOptions options;
         for (const std::uint64_t id : { 0U, 59U, 12345U }) {
@@ -30,12 +30,12 @@
             // Where all links are slow, one of the processes has to read the store, and soon.
             CPPUNIT_ASSERT(firstReadDelay(options, id, 10) < 260);
         }
-        CPPUNIT_ASSERT(firstReadDelay(options, 0, 0.1) <= options.longestWait);
+        CPPUNIT_ASSERT(firstReadDelay(options, 0, 0.1) <= options.maxWait);
     }
 
     // Guards against every balancer reading the store just when it has come back. All start within 300 ms, and each learns
     // of a version 150 ms after the first read of any process, or 50 ms after its own start if that is later.
-    void restartOfEverythingIsReadByAFew()
+    void fewProcessesReadAfterAFullRestart()
     {
         const StoreReaderOptions options;
         constexpr Millis startSpread = 300;
@@ -49,44 +49,44 @@
                 const Millis startedAt = static_cast<Millis>(rank * 7919 % startSpread);
                 const bool isSeed = rank % (size / seeds) == 1;
                 const Millis delay = isSeed ? 0 : firstReadDelay(options, rank * 31, 20);
-                readsAt.push_back(startedAt + delay + firstReadTurn(options, rank, isSeed));
+                readsAt.push_back(startedAt + delay + firstReadRankDelay(options, rank, isSeed));
                 firstRead = std::min(firstRead, readsAt.back());
             }
             std::size_t readers = 0;
             for (std::size_t rank = 0; rank < size; ++rank) {
                 const Millis startedAt = static_cast<Millis>(rank * 7919 % startSpread);
-                const Millis toldAt = std::max(firstRead + spreadTime, startedAt + firstAnswer);
-                readers += readsAt[rank] <= toldAt ? 1 : 0;
+                const Millis learntAt = std::max(firstRead + spreadTime, startedAt + firstAnswer);
+                readers += readsAt[rank] <= learntAt ? 1 : 0;
             }
             CPPUNIT_ASSERT(readers <= options.wanted + seeds);
         }
         // Without any seed one process reads the store before callers send their second copy.
-        CPPUNIT_ASSERT(firstReadTurn(options, 0, false) <= 100);
-        CPPUNIT_ASSERT(firstReadTurn(options, 5000, false) <= options.longestWait);
+        CPPUNIT_ASSERT(firstReadRankDelay(options, 0, false) <= 100);
+        CPPUNIT_ASSERT(firstReadRankDelay(options, 5000, false) <= options.maxWait);
     }
 
     // Guards against a hundred reads of the whole store in addition to a hundred transfers of the same data from peers.
-    void storeIsLeftAloneWhileAPeerTells()
+    void firstReadWaitsForAPeersTransfer()
     {
         const StoreReaderOptions options;
         CPPUNIT_ASSERT(!isFirstReadDue(options, 199, 200, false));
         CPPUNIT_ASSERT(isFirstReadDue(options, 200, 200, false));
         CPPUNIT_ASSERT(!isFirstReadDue(options, 200, 200, true));
         // A transfer that does not finish must not leave the process without a view.
-        CPPUNIT_ASSERT(isFirstReadDue(options, options.longestWait, 200, true));
+        CPPUNIT_ASSERT(isFirstReadDue(options, options.maxWait, 200, true));
     }
 
     // Guards against gossip messages of several kilobytes after a restart in which a hundred processes began to follow the
     // store.
-    void newsNamesAFewFollowersOnly()
+    void gossipListsFewReaders()
     {
         StoreReaders state;
         for (std::size_t index = 0; index < 100; ++index)
-            takeBeat(state, { .name = nameOfProcess(index), .beat = 1, .hasStopped = index % 2 == 1 }, 1000);
-        const std::vector<ReaderBeat> beats = freshBeats(state, 1001);
-        CPPUNIT_ASSERT_EQUAL(2 * state.options.beatsPassedOn, beats.size());
-        CPPUNIT_ASSERT(state.options.beatsPassedOn >= state.options.wanted);
-        CPPUNIT_ASSERT_EQUAL(nameOfProcess(0), beats.front().name);
+            recordHeartbeat(state, { .name = nameOfProcess(index), .beat = 1, .hasStopped = index % 2 == 1 }, 1000);
+        const std::vector<ReaderHeartbeat> heartbeats = currentHeartbeats(state, 1001);
+        CPPUNIT_ASSERT_EQUAL(2 * state.options.maxHeartbeats, heartbeats.size());
+        CPPUNIT_ASSERT(state.options.maxHeartbeats >= state.options.wanted);
+        CPPUNIT_ASSERT_EQUAL(nameOfProcess(0), heartbeats.front().name);
     }
 
     static std::string nameOfProcess(std::size_t index)
@@ -109,12 +109,12 @@
                 if (isReading[reader] && isAlive[reader])
                     beat(states[reader], nameOfProcess(reader), now);
             }
-            for (std::size_t teller = 0; teller < states.size(); ++teller) {
-                if (!isAlive[teller])
+            for (std::size_t sender = 0; sender < states.size(); ++sender) {
+                if (!isAlive[sender])
                     continue;
-                for (StoreReaders& hearer : states) {
-                    for (const ReaderBeat& heard : freshBeats(states[teller], now))
-                        takeBeat(hearer, heard, now);
+                for (StoreReaders& receiver : states) {
+                    for (const ReaderHeartbeat& heard : currentHeartbeats(states[sender], now))
+                        recordHeartbeat(receiver, heard, now);
                 }
             }
             for (std::size_t index = 0; index < states.size(); ++index)
@@ -138,7 +138,7 @@
         for (; now < 4000; now += 250)
             fleet.round(now);
         for (std::size_t reader = 0; reader < 3; ++reader) {
-            stopBeating(fleet.states[reader], nameOfProcess(reader), now);
+            announceStop(fleet.states[reader], nameOfProcess(reader), now);
             fleet.isReading[reader] = false;
         }
         const Millis stoppedAt = now;
@@ -182,16 +182,16 @@
 
     // A reader is restarted and counts from the beginning, while others know its old, higher number. Guards against
     // rejecting its heartbeats for ever, which would make all other processes follow the store.
-    void restartedReaderIsHeardAgain()
+    void restartedReaderCountsAgain()
     {
         StoreReaders state;
-        takeBeat(state, { .name = "a", .beat = 900 }, 1000);
-        takeBeat(state, { .name = "a", .beat = 1 }, 1100);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t { 900 }, freshBeats(state, 1100).front().beat);
+        recordHeartbeat(state, { .name = "a", .beat = 900 }, 1000);
+        recordHeartbeat(state, { .name = "a", .beat = 1 }, 1100);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t { 900 }, currentHeartbeats(state, 1100).front().beat);
         const Millis later = 1000 + state.options.freshness + 1;
-        CPPUNIT_ASSERT(freshBeats(state, later).empty());
-        takeBeat(state, { .name = "a", .beat = 2 }, later);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t { 2 }, freshBeats(state, later).front().beat);
+        CPPUNIT_ASSERT(currentHeartbeats(state, later).empty());
+        recordHeartbeat(state, { .name = "a", .beat = 2 }, later);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t { 2 }, currentHeartbeats(state, later).front().beat);
     }
 };
 
