--- a/tests/soak/soakupstream.cpp
+++ b/tests/soak/soakupstream.cpp
@@ -80,7 +80,7 @@
 }
 
 // The answer repeats the text of the request. A request that is sent again is answered again.
-void SoakUpstream::answerData(const FlowKey& flow, Flow& state, const PacketHead& head, const std::string& data)
+void SoakUpstream::answerData(const FlowKey& flow, Flow& state, const PacketHeader& head, const std::string& data)
 {
     state.received = head.sequence + head.dataLength;
     send({
