--- a/bench/benchmarks/benchagent.cpp
+++ b/bench/benchmarks/benchagent.cpp
@@ -28,15 +28,15 @@
     for (auto _ : state) {
         const FlowId flow = random.id();
         ++now;
-        PacketFacts facts { .isOpen = true, .endedFor = closedReason(closed, flow), .serviceMatches = true };
+        PacketFacts facts { .isOpen = true, .closeReason = findCloseReason(closed, flow), .serviceMatches = true };
         benchmark::DoNotOptimize(decidePacket(facts));
         flows.emplace(flow, 1);
         for (int packet = 0; packet < 4; ++packet) {
-            facts = { .hasToken = true, .tokenIsMine = true, .holdsFlow = flows.contains(flow), .serviceMatches = true };
+            facts = { .hasToken = true, .tokenIsOwn = true, .holdsFlow = flows.contains(flow), .serviceMatches = true };
             benchmark::DoNotOptimize(decidePacket(facts));
         }
         flows.erase(flow);
-        noteClosed(closed, {}, flow, RefusalReason::FlowUnknown, now);
+        recordClosedFlow(closed, {}, flow, RefusalReason::FlowUnknown, now);
     }
 }
 BENCHMARK(openPacketsClose)->Arg(2000)->Arg(20000);
@@ -66,7 +66,7 @@
     Millis now = 0;
     const auto runOne = [&] {
         const std::string text = "filing-" + std::to_string(++key);
-        now += options.keepFor / static_cast<Millis>(held) + 1;
+        now += options.retention / static_cast<Millis>(held) + 1;
         expireLedger(ledger, options, now);
         benchmark::DoNotOptimize(beginWork(ledger, options, text, now));
         settleWork(ledger, options, text, LedgerState::Ran, now);
@@ -102,7 +102,7 @@
         state.counters["redirect"] = bytesPerEntry(count, [](std::size_t entries) {
             Redirects redirects;
             for (FlowId flow = 1; flow <= entries; ++flow)
-                noteRedirect(redirects, { .maxEntries = entries }, flow, { 1, 1 }, 0);
+                recordRedirect(redirects, { .maxEntries = entries }, flow, { 1, 1 }, 0);
             return redirects;
         });
         state.counters["ledgerKey"] = bytesPerEntry(count, [](std::size_t entries) {
@@ -118,7 +118,7 @@
         state.counters["closedFlow"] = bytesPerEntry(count, [](std::size_t entries) {
             ClosedFlows closed;
             for (FlowId flow = 1; flow <= entries; ++flow)
-                noteClosed(closed, { .maxEntries = entries }, flow, RefusalReason::FlowUnknown, 0);
+                recordClosedFlow(closed, { .maxEntries = entries }, flow, RefusalReason::FlowUnknown, 0);
             return closed;
         });
     }
--- a/bench/libmodel/admissionmodel.cpp
+++ b/bench/libmodel/admissionmodel.cpp
@@ -17,7 +17,7 @@
     constexpr Millis handshake = 5;
     /// Time for which an admitted opening occupies the agent after its caller has given up.
     constexpr Millis abandonedWork = 50;
-    constexpr Millis newsInterval = 200;
+    constexpr Millis loadReportInterval = 200;
 
     struct ModelCaller {
         Millis askedAt = 0;
@@ -129,7 +129,7 @@
             for (ModelServer& server : m_servers)
                 server.toldLoad = loadOf(server);
             if (now() < m_options.duration)
-                m_loop.after(toMicros(newsInterval), [this] { tellLoads(); });
+                m_loop.after(toMicros(loadReportInterval), [this] { tellLoads(); });
         }
 
         std::size_t choose()
--- a/bench/libmodel/modelagent.cpp
+++ b/bench/libmodel/modelagent.cpp
@@ -136,7 +136,7 @@
     std::vector<ConfigVersion> versions;
     for (const auto& [balancer, link] : m_balancers)
         versions.push_back(link.configVersion);
-    if (m_returnVersion != 0 && mayReturn(m_returnVersion, versions, m_context.policy.configOrder))
+    if (m_returnVersion != 0 && mayAcceptFlowsAfterReturn(m_returnVersion, versions, m_context.policy.configOrder))
         m_returnVersion = 0;
 }
 
@@ -146,7 +146,7 @@
     const Millis held = m_pause.dropUntil;
     recordRun(m_pause, m_context.policy.pause, m_context.loop.nowMillis());
     if (m_pause.dropUntil != held)
-        restartCold(m_admission, m_context.loop.nowMillis());
+        restartWarmUp(m_admission, m_context.loop.nowMillis());
 }
 
 void ModelAgent::receive(Endpoint from, Message message)
@@ -167,7 +167,7 @@
         takeConfig(*config);
     } else if (const auto* redirects = std::get_if<RedirectMessage>(&message)) {
         for (const auto& [flow, owner] : redirects->entries)
-            noteRedirect(m_redirects, m_context.policy.redirects, flow, owner, now);
+            recordRedirect(m_redirects, m_context.policy.redirects, flow, owner, now);
         m_context.metrics.redirectsNoted += redirects->entries.size();
     } else if (const auto* query = std::get_if<LedgerQueryMessage>(&message)) {
         answerQuery(*query);
@@ -187,10 +187,10 @@
     return {
         .isOpen = packet.kind == ModelPacketKind::Open,
         .hasToken = packet.owner.isSet(),
-        .tokenIsMine = m_token.isSet() && packet.owner == m_token,
+        .tokenIsOwn = m_token.isSet() && packet.owner == m_token,
         .tokenIsPredecessor = m_token.isSet() && packet.owner.upstream == m_token.upstream && packet.owner.incarnation < m_token.incarnation,
         .holdsFlow = holds,
-        .endedFor = closedReason(m_closedFlows, packet.flow),
+        .closeReason = findCloseReason(m_closedFlows, packet.flow),
         .redirectFound = findRedirect(m_redirects, m_context.policy.redirects, packet.flow, m_context.loop.nowMillis()).has_value(),
         .serviceMatches = holds ? flow->second.service == packet.service : packet.service == m_service,
         .hops = packet.hops,
@@ -292,7 +292,7 @@
     if (m_flows.erase(flow) == 0)
         return;
     m_drain.lastClosedAt = m_context.loop.nowMillis();
-    noteClosed(m_closedFlows, m_context.policy.closedFlows, flow, reason, m_context.loop.nowMillis());
+    recordClosedFlow(m_closedFlows, m_context.policy.closedFlows, flow, reason, m_context.loop.nowMillis());
 }
 
 void ModelAgent::resetFlow(FlowId flow, RefusalReason reason)
@@ -361,13 +361,13 @@
         leaveDataCentre();
     if (!isBack)
         return;
-    restartCold(m_admission, m_context.loop.nowMillis());
+    restartWarmUp(m_admission, m_context.loop.nowMillis());
     m_returnVersion = config.version;
 }
 
 void ModelAgent::leaveDataCentre()
 {
-    for (const ExpiredItem& expired : refuseQueue(m_admission, RefusalReason::DataCentreOut, m_context.loop.nowMillis()))
+    for (const RefusedItem& expired : refuseQueue(m_admission, RefusalReason::DataCentreOut, m_context.loop.nowMillis()))
         refuse(m_work.at(expired.item.id), expired.refusal, LedgerState::NotRun);
     while (!m_flows.empty())
         resetFlow(m_flows.begin()->first, RefusalReason::DataCentreOut);
@@ -438,7 +438,7 @@
     giveUpSilentLinks();
     // The health endpoint refuses connections, so the next process that answers there is a new one, which starts cold.
     if (!m_upstream.isAlive())
-        restartCold(m_admission, now);
+        restartWarmUp(m_admission, now);
     for (const auto& [balancer, link] : m_balancers) {
         const HeartbeatMessage heartbeat {
             .agent = m_token,
@@ -480,7 +480,7 @@
         closeFlow(flow, RefusalReason::FlowSilent);
     expireLedger(m_ledger, m_context.policy.ledger, now);
     expireRedirects(m_redirects, m_context.policy.redirects, now);
-    expireClosed(m_closedFlows, m_context.policy.closedFlows, now);
+    expireClosedFlows(m_closedFlows, m_context.policy.closedFlows, now);
 }
 
 void ModelAgent::noteIdle(FlowId flow)
--- a/bench/libmodel/modelagentwork.cpp
+++ b/bench/libmodel/modelagentwork.cpp
@@ -53,7 +53,7 @@
     const BeginVerdict begun = beginWork(m_ledger, m_context.policy.ledger, keyText(packet.request.key), now);
     if (begun != BeginVerdict::Run)
         return refuse(work, refusalOf(begun), LedgerState::NeverSeen);
-    work.earlier = startAttempts(packet.request.earlier, m_token);
+    work.earlier = collectEarlierAttempts(packet.request.earlier, m_token);
     if (decideAttempts(work.earlier, m_context.policy.attempts).decision == AttemptsDecision::Wait)
         askEarlier(work);
     decideEarlier(id);
@@ -71,7 +71,7 @@
             return;
         for (EarlierAttempt& attempt : found->second.earlier.attempts) {
             if (!attempt.answer)
-                noteUnreachable(found->second.earlier, attempt.owner);
+                recordUnreachable(found->second.earlier, attempt.owner);
         }
         decideEarlier(id);
     });
@@ -137,9 +137,9 @@
     const Millis now = m_context.loop.nowMillis();
     if (isDroppingPackets(m_pause, now))
         return later(toMicros(m_pause.dropUntil - now), [this] { startNext(); });
-    for (const ExpiredItem& expired : takeExpired(m_admission, admissionOptions(), now))
+    for (const RefusedItem& expired : removeExpired(m_admission, admissionOptions(), now))
         refuse(m_work.at(expired.item.id), expired.refusal, LedgerState::NotRun);
-    for (const WorkItem& item : takeRunnable(m_admission, admissionOptions(), now))
+    for (const WorkItem& item : dequeueRunnable(m_admission, admissionOptions(), now))
         startWork(item.id);
     wakeLater();
 }
@@ -147,7 +147,7 @@
 void ModelAgent::wakeLater()
 {
     const Millis now = m_context.loop.nowMillis();
-    const auto wake = nextWake(m_admission, now);
+    const auto wake = nextWakeTime(m_admission, now);
     if (!wake || (m_wakeAt && *m_wakeAt <= *wake && *m_wakeAt > now))
         return;
     m_wakeAt = std::max(*wake, now + 1);
@@ -295,7 +295,7 @@
     for (auto& [id, work] : m_work) {
         if (work.state != WorkState::Asking || work.request.key != answer.key)
             continue;
-        noteAnswer(work.earlier, answer.holder, *state);
+        recordAnswer(work.earlier, answer.holder, *state);
         asking.push_back(id);
     }
     for (const RequestId id : asking)
--- a/bench/libmodel/modelbalancer.cpp
+++ b/bench/libmodel/modelbalancer.cpp
@@ -51,7 +51,7 @@
     m_config = {};
     m_pause = {};
     m_placing = m_context.policy.placing;
-    m_placing.newsInterval = m_context.experiment.deployment.heartbeat;
+    m_placing.loadReportInterval = m_context.experiment.deployment.heartbeat;
     rebuild();
     m_context.network.setAlive(self(), true);
     m_context.network.attach(self(), [this](Endpoint from, Message message) { receive(from, std::move(message)); });
@@ -241,7 +241,7 @@
         if (m_members[agent].token != record.token) {
             m_members[agent].token = record.token;
             m_members[agent].linked = false;
-            peer.lease = watchLease(m_context.experiment.deployment.lease, record.renewals, m_context.loop.nowMillis());
+            peer.lease = observeLease(m_context.experiment.deployment.lease, record.renewals, m_context.loop.nowMillis());
         }
         peer.announced = record.announced;
         peer.draining = record.draining;
@@ -332,7 +332,7 @@
     const auto links = static_cast<std::size_t>(std::ranges::count(m_members, true, &Member::linked));
     const PacingOptions pacing { .baseInterval = deployment.heartbeat };
     const Millis interval = heartbeatInterval(links, pacing);
-    m_placing.newsInterval = std::max(interval, deployment.heartbeat);
+    m_placing.loadReportInterval = std::max(interval, deployment.heartbeat);
     const Millis silence = std::max(deployment.linkSilence, silenceLimit(interval, pacing));
     watchLeases();
     for (std::size_t agent = 0; agent < m_members.size(); ++agent) {
@@ -351,9 +351,9 @@
 {
     const Millis now = m_context.loop.nowMillis();
     for (std::size_t agent = 0; agent < m_members.size(); ++agent) {
-        watchTime(m_peers[agent].lease, { .longestStep = 2 * m_context.experiment.deployment.heartbeat }, m_store.answers(), now);
+        addObservedTime(m_peers[agent].lease, { .maxStep = 2 * m_context.experiment.deployment.heartbeat }, m_store.answers(), now);
         if (m_store.answers())
-            noteRenewal(m_peers[agent].lease, m_store.targets()[agent].renewals, now);
+            recordRenewal(m_peers[agent].lease, m_store.targets()[agent].renewals, now);
     }
 }
 
--- a/bench/libmodel/modelcallers.cpp
+++ b/bench/libmodel/modelcallers.cpp
@@ -314,7 +314,7 @@
         ++m_context.metrics.firstTries;
         ++m_context.metrics.second(sinceStart(m_context)).offered;
     }
-    noteFirstTry(budgetOf(pending.caller), {});
+    recordFirstTry(budgetOf(pending.caller), {});
     m_context.loop.at(toMicros(pending.deadline), [this, first] { giveUp(first); });
     m_pending.emplace(first, std::move(pending));
     sendTry(first);
--- a/src/kingcuptraild/agent/agent.cpp
+++ b/src/kingcuptraild/agent/agent.cpp
@@ -75,13 +75,13 @@
     m_role.root.add({ .name = "announcer", .make = [this](const FailureHandler&) { return std::make_unique<AnnouncerChild>(*this); } });
     m_role.root.add({ .name = "probe", .make = [this](const FailureHandler&) {
                          return std::make_unique<UpstreamProbe>(m_role,
-                             UpstreamProbe::Handlers { .onHint = [this](const UpstreamHint& hint) { m_requests.noteHint(hint); },
+                             UpstreamProbe::Handlers { .onHint = [this](const UpstreamHint& hint) { m_requests.applyHint(hint); },
                                  .onContact = [this](bool isConnected) { handleContact(isConnected); } });
                      } });
     m_role.root.add({ .name = "watch", .make = [this](const FailureHandler&) {
                          return std::make_unique<UpstreamWatch>(m_role,
                              UpstreamWatch::Handlers { .onContact = [this](bool isConnected) { handleContact(isConnected); },
-                                 .onRestart = [this] { restartCold(HttpError::ConnectionLost); } });
+                                 .onRestart = [this] { restartWarmUp(HttpError::ConnectionLost); } });
                      } });
     startTimers();
 }
@@ -119,13 +119,13 @@
     std::vector<ConfigVersion> versions;
     for (const auto& link : m_flows.links())
         versions.push_back(link->peerConfigVersion());
-    if (!mayReturn(m_returnVersion, versions))
+    if (!mayAcceptFlowsAfterReturn(m_returnVersion, versions))
         return;
     m_returnVersion = 0;
     m_isOut = false;
     m_flows.setDataCentreOut(false);
     // The upstream got no requests while the data centre was out, so its caches and connection pools are cold.
-    m_requests.restartCold();
+    m_requests.restartWarmUp();
     applyState();
 }
 
@@ -140,7 +140,7 @@
     recordRun(m_pause, {}, now);
     if (m_pause.dropUntil != heldBefore) {
         m_requests.refuseWaiting(RefusalReason::ExpectedWaitTooLong);
-        m_requests.restartCold();
+        m_requests.restartWarmUp();
     }
     return isDroppingPackets(m_pause, now);
 }
@@ -164,17 +164,17 @@
     beatNow();
 }
 
-void Agent::restartCold(HttpError seen)
+void Agent::restartWarmUp(HttpError seen)
 {
-    m_requests.restartCold();
+    m_requests.restartWarmUp();
     logEvent(Event::UpstreamCold, { { "limit", currentLimit(m_requests.admission()) }, { "outcome", nameOf(seen) } });
 }
 
 void Agent::handleContact(bool isConnected)
 {
-    if (mayBeReplaced(m_reachability, isConnected))
-        restartCold(isConnected ? HttpError::None : HttpError::ConnectFailed);
-    if (!noteContact(m_reachability, {}, isConnected))
+    if (indicatesReplacement(m_reachability, isConnected))
+        restartWarmUp(isConnected ? HttpError::None : HttpError::ConnectFailed);
+    if (!recordConnectAttempt(m_reachability, {}, isConnected))
         return;
     logEvent(m_reachability.isReachable ? Event::UpstreamReachable : Event::UpstreamUnreachable);
     applyState();
--- a/src/kingcuptraild/agent/agent.h
+++ b/src/kingcuptraild/agent/agent.h
@@ -36,7 +36,7 @@
     void handleFrame(PeerLink& from, const wire::Frame& frame);
     void answerQuery(PeerLink& from, const wire::LedgerQuery& query);
     void askLedger(std::uint64_t query, const OwnerToken& holder, const std::string& key);
-    void restartCold(HttpError seen);
+    void restartWarmUp(HttpError seen);
     void handleContact(bool isConnected);
     void considerReturn();
     bool isHeld();
--- a/src/kingcuptraild/agent/earlierowners.cpp
+++ b/src/kingcuptraild/agent/earlierowners.cpp
@@ -27,7 +27,7 @@
 void EarlierOwners::begin(const RequestPtr& request, const OwnerToken& own, Millis now)
 {
     request->stage = RequestStage::AskingEarlier;
-    request->attempts = startAttempts(request->earlier, own);
+    request->attempts = collectEarlierAttempts(request->earlier, own);
     ask(request, now);
     consider(request);
 }
@@ -59,7 +59,7 @@
         m_hooks.onAnswered(request, *reply.answer);
         return;
     }
-    noteAnswer(request->attempts, owner, reply.state);
+    recordAnswer(request->attempts, owner, reply.state);
     consider(request);
 }
 
@@ -89,7 +89,7 @@
     const std::vector<EarlierAttempt> attempts = request->attempts.attempts;
     for (const EarlierAttempt& attempt : attempts) {
         if (!attempt.answer && !attempt.unreachable)
-            noteUnreachable(request->attempts, attempt.owner);
+            recordUnreachable(request->attempts, attempt.owner);
     }
     consider(request);
 }
--- a/src/kingcuptraild/agent/flowtable.cpp
+++ b/src/kingcuptraild/agent/flowtable.cpp
@@ -93,10 +93,10 @@
     return {
         .isOpen = packet.kind() == wire::PacketKind::Open,
         .hasToken = token.isSet(),
-        .tokenIsMine = token == m_token,
+        .tokenIsOwn = token == m_token,
         .tokenIsPredecessor = token.upstream == m_token.upstream && token.incarnation < m_token.incarnation,
         .holdsFlow = flow != nullptr,
-        .endedFor = closedReason(m_closed, packet.flow()),
+        .closeReason = findCloseReason(m_closed, packet.flow()),
         .serviceMatches = packet.service() != 0 && packet.service() == (flow ? flow->service : m_service),
         .hops = packet.hops(),
         .draining = m_isDraining,
@@ -276,7 +276,7 @@
         sendOnFlow(*flow, std::move(reset));
     }
     m_lastClosedAt = m_clock.now();
-    noteClosed(m_closed, m_closedOptions, id, tellCaller == RefusalReason::None ? RefusalReason::FlowUnknown : tellCaller, m_lastClosedAt);
+    recordClosedFlow(m_closed, m_closedOptions, id, tellCaller == RefusalReason::None ? RefusalReason::FlowUnknown : tellCaller, m_lastClosedAt);
     m_flows.erase(id);
     m_active.erase(id);
     m_hooks.onEnded(id);
@@ -294,7 +294,7 @@
     }
     for (const auto& [id, end] : over)
         endFlow(id, end, RefusalReason::FlowSilent);
-    expireClosed(m_closed, m_closedOptions, now);
+    expireClosedFlows(m_closed, m_closedOptions, now);
 }
 
 DrainStep FlowTable::drainStep(DrainProgress& progress, const DrainOptions& options)
--- a/src/kingcuptraild/agent/requestscheduler.cpp
+++ b/src/kingcuptraild/agent/requestscheduler.cpp
@@ -58,7 +58,7 @@
 
 void RequestScheduler::refuseWaiting(RefusalReason reason)
 {
-    for (const ExpiredItem& expired : refuseQueue(m_admission, reason, m_clock.now())) {
+    for (const RefusedItem& expired : refuseQueue(m_admission, reason, m_clock.now())) {
         if (const auto found = m_byWork.find(expired.item.id); found != m_byWork.end())
             refuse(RequestPtr(found->second), expired.refusal);
     }
@@ -195,7 +195,7 @@
 
 void RequestScheduler::startRunnable()
 {
-    for (const WorkItem& item : takeRunnable(m_admission, m_admissionOptions, m_clock.now())) {
+    for (const WorkItem& item : dequeueRunnable(m_admission, m_admissionOptions, m_clock.now())) {
         const auto found = m_byWork.find(item.id);
         if (found != m_byWork.end())
             run(RequestPtr(found->second));
@@ -300,7 +300,7 @@
     const bool isAnyOpen = std::ranges::any_of(m_byWork, [](const auto& entry) { return entry.second->streamOpen && entry.second->call; });
     if (isAnyOpen)
         return;
-    restartCold();
+    restartWarmUp();
     logEvent(Event::UpstreamCold, { { "limit", currentLimit(m_admission) }, { "outcome", nameOf(HttpError::ConnectionLost) } });
 }
 
@@ -436,15 +436,15 @@
     return reply;
 }
 
-void RequestScheduler::noteHint(const UpstreamHint& hint)
+void RequestScheduler::applyHint(const UpstreamHint& hint)
 {
-    kingcuptrail::noteHint(m_admission, m_admissionOptions, hint, m_clock.now());
+    kingcuptrail::applyHint(m_admission, m_admissionOptions, hint, m_clock.now());
 }
 
 void RequestScheduler::tick()
 {
     const Millis now = m_clock.now();
-    for (const ExpiredItem& expired : takeExpired(m_admission, m_admissionOptions, now)) {
+    for (const RefusedItem& expired : removeExpired(m_admission, m_admissionOptions, now)) {
         if (const auto found = m_byWork.find(expired.item.id); found != m_byWork.end())
             refuse(RequestPtr(found->second), expired.refusal);
     }
--- a/src/kingcuptraild/agent/requestscheduler.h
+++ b/src/kingcuptraild/agent/requestscheduler.h
@@ -69,8 +69,8 @@
     LedgerReply answerLedgerQuery(const std::string& key);
     void handleLedgerAnswer(std::uint64_t query, const LedgerReply& reply) { m_earlierOwners.handleAnswer(query, reply); }
 
-    void noteHint(const UpstreamHint& hint);
-    void restartCold() { kingcuptrail::restartCold(m_admission, m_clock.now()); }
+    void applyHint(const UpstreamHint& hint);
+    void restartWarmUp() { kingcuptrail::restartWarmUp(m_admission, m_clock.now()); }
     void tick();
 
     bool hasRequests(FlowId flow) const;
--- a/src/kingcuptraild/agent/upstreamwatch.cpp
+++ b/src/kingcuptraild/agent/upstreamwatch.cpp
@@ -69,7 +69,7 @@
 void UpstreamWatch::handleEnd()
 {
     const Millis life = m_role.clock.now() - m_connectedAt;
-    if (showsRestart(m_closes, {}, life, m_wasToldWhy))
+    if (indicatesRestart(m_closes, {}, life, m_wasToldWhy))
         m_handlers.onRestart();
     if (life < shortestIdle)
         connectAfter(shortestIdle - life);
--- a/src/kingcuptraild/balancer/balancer.cpp
+++ b/src/kingcuptraild/balancer/balancer.cpp
@@ -96,7 +96,7 @@
 {
     for (const OwnerToken& token : m_members.tokens()) {
         const MemberTable::Entry* entry = m_members.find(token);
-        if (entry->link && isPusher(m_id, token.upstream, entry->report.links, newsCopies))
+        if (entry->link && isSelectedToPush(m_id, token.upstream, entry->report.links, newsCopies))
             entry->link->heartbeatNow();
     }
 }
@@ -230,7 +230,7 @@
 void Balancer::place(const wire::Packet& packet, std::span<const std::uint8_t> raw)
 {
     const auto members = m_members.members(packet.service());
-    m_placeOptions.newsInterval = heartbeatPause();
+    m_placeOptions.loadReportInterval = heartbeatPause();
     const auto placement = placeFlow(packet.flow(), members, m_placeOptions);
     if (!placement) {
         const bool isKnown = m_role.config.current().findAddress(packet.service());
--- a/src/libcaller/callercalls.cpp
+++ b/src/libcaller/callercalls.cpp
@@ -46,7 +46,7 @@
     call.progress.idempotent = call.request->idempotent;
     call.progress.deadline = call.startedAt + call.spec.deadline;
     ++counters.calls;
-    noteFirstTry(budget, options.retry);
+    recordFirstTry(budget, options.retry);
     startTry(id, call);
     return id;
 }
--- a/src/libdecision/admission.h
+++ b/src/libdecision/admission.h
@@ -33,11 +33,11 @@
     /// The minimum time in which the limit rises from one slot to all slots, in milliseconds.
     Millis warmUp = 10000;
     /// A request whose expected wait is longer than this is refused on arrival, whatever its deadline, in milliseconds.
-    Millis longestShortWait = 1000;
-    Millis longestLongWait = 5000;
+    Millis maxShortWait = 1000;
+    Millis maxLongWait = 5000;
     /// Service times that are assumed until the first measurement, in milliseconds.
-    Millis assumedShortTime = 50;
-    Millis assumedLongTime = 1000;
+    Millis assumedShortServiceTime = 50;
+    Millis assumedLongServiceTime = 1000;
     /// Test only: when off, a cold upstream gets as many requests as a warm one.
     bool coldStartGuard = true;
     /// Test only: when off, the queue has no bound and requests stay in it past their deadline.
@@ -61,30 +61,30 @@
     std::array<std::uint32_t, 2> running {};
     std::array<ServiceTime, 2> serviceTime;
     /// When short work last arrived or ended. Slots are reserved for short work for a while after that.
-    std::optional<Millis> lastShort;
+    std::optional<Millis> lastShortWork;
     /// Slots that the upstream reports as occupied by other work, and when this report expires.
-    std::uint32_t hintedBusy = 0;
-    Millis hintUntil = 0;
+    std::uint32_t hintedBusySlots = 0;
+    Millis hintExpiresAt = 0;
     /// Hints are ignored after this time during the warm-up with the number below.
-    Millis hintsEnd = 0;
-    std::uint64_t hintsColdStart = 0;
+    Millis hintsIgnoredFrom = 0;
+    std::uint64_t hintsColdStartCount = 0;
 };
 
 /// Decides on a request that arrives. A request that may run is counted as running, a queued one is stored.
 AdmitVerdict admit(AdmissionState&, const AdmissionOptions&, const WorkItem&, Millis now);
 
 /// Removes the queued requests that may start now and counts them as running.
-std::vector<WorkItem> takeRunnable(AdmissionState&, const AdmissionOptions&, Millis now);
+std::vector<WorkItem> dequeueRunnable(AdmissionState&, const AdmissionOptions&, Millis now);
 
 /// A queued request that is refused. Nothing of it has reached the upstream.
-struct ExpiredItem {
+struct RefusedItem {
     WorkItem item;
     RefusalVerdict refusal;
 };
 
 /// Removes the queued requests that can no longer be answered before their deadline, so that each is refused as soon as this
 /// is known.
-std::vector<ExpiredItem> takeExpired(AdmissionState&, const AdmissionOptions&, Millis now);
+std::vector<RefusedItem> removeExpired(AdmissionState&, const AdmissionOptions&, Millis now);
 
 /// Records the end of a running request: frees its slot and adjusts the concurrency limit. A cancelled or timed-out request
 /// has ended only when the upstream has confirmed it or its connection is closed.
@@ -94,18 +94,18 @@
 bool cancelQueued(AdmissionState&, std::uint64_t id);
 
 /// Refuses all queued requests as not run, because the agent drains, its data centre is taken out or its upstream is lost.
-std::vector<ExpiredItem> refuseQueue(AdmissionState&, RefusalReason, Millis now);
+std::vector<RefusedItem> refuseQueue(AdmissionState&, RefusalReason, Millis now);
 
-/// The next time, always after `now`, at which takeRunnable() or takeExpired() may return something
+/// The next time, always after `now`, at which dequeueRunnable() or removeExpired() may return something
 /// although no request has ended; nothing while the queue is empty. Call it after both of them.
-std::optional<Millis> nextWake(const AdmissionState&, Millis now);
+std::optional<Millis> nextWakeTime(const AdmissionState&, Millis now);
 
 /// Applies a report of the upstream's endpoints. A hint can only reduce the number of requests, only during a warm-up, and
 /// for no longer than one further warm-up. Otherwise the agent's own measurements decide.
-void noteHint(AdmissionState&, const AdmissionOptions&, const UpstreamHint&, Millis now);
+void applyHint(AdmissionState&, const AdmissionOptions&, const UpstreamHint&, Millis now);
 
 /// Starts a warm-up after a restart of the upstream or the return of its data centre.
-void restartCold(AdmissionState&, Millis now);
+void restartWarmUp(AdmissionState&, Millis now);
 
 /// Whether the upstream is warming up.
 bool isCold(const AdmissionState&);
--- a/src/libdecision/attempts.cpp
+++ b/src/libdecision/attempts.cpp
@@ -13,7 +13,7 @@
         });
     }
 
-    EarlierAttempt* openAttempt(EarlierAttempts& earlier, const OwnerToken& owner)
+    EarlierAttempt* findUnansweredAttempt(EarlierAttempts& earlier, const OwnerToken& owner)
     {
         for (EarlierAttempt& attempt : earlier.attempts) {
             if (attempt.owner == owner && !attempt.answer && !attempt.unreachable)
@@ -27,7 +27,7 @@
         return { AttemptsDecision::Refuse, { .ran = ran, .reason = reason, .retryAfter = 0 } };
     }
 
-    AttemptsVerdict decideOne(const EarlierAttempt& attempt)
+    AttemptsVerdict decideAttempt(const EarlierAttempt& attempt)
     {
         if (attempt.unreachable)
             return refuse(Ran::Unknown, RefusalReason::EarlierAttemptUnknown);
@@ -50,7 +50,7 @@
 
     /// The precedence of a verdict: a request that is known to have run outranks an unknown outcome, and both outrank
     /// waiting.
-    int weightOf(const AttemptsVerdict& verdict)
+    int precedenceOf(const AttemptsVerdict& verdict)
     {
         if (verdict.decision == AttemptsDecision::Run)
             return 0;
@@ -61,11 +61,11 @@
 
 }
 
-EarlierAttempts startAttempts(std::span<const OwnerToken> owners, const OwnerToken& mine)
+EarlierAttempts collectEarlierAttempts(std::span<const OwnerToken> owners, const OwnerToken& ownToken)
 {
     EarlierAttempts earlier;
     for (const OwnerToken& owner : owners) {
-        if (owner == mine || !owner.isSet() || isNamed(earlier, owner))
+        if (owner == ownToken || !owner.isSet() || isNamed(earlier, owner))
             continue;
         earlier.tooMany = earlier.attempts.size() == maxEarlierAttempts;
         if (earlier.tooMany)
@@ -75,15 +75,15 @@
     return earlier;
 }
 
-void noteAnswer(EarlierAttempts& earlier, const OwnerToken& owner, LedgerState state)
+void recordAnswer(EarlierAttempts& earlier, const OwnerToken& owner, LedgerState state)
 {
-    if (EarlierAttempt* attempt = openAttempt(earlier, owner))
+    if (EarlierAttempt* attempt = findUnansweredAttempt(earlier, owner))
         attempt->answer = state;
 }
 
-void noteUnreachable(EarlierAttempts& earlier, const OwnerToken& owner)
+void recordUnreachable(EarlierAttempts& earlier, const OwnerToken& owner)
 {
-    if (EarlierAttempt* attempt = openAttempt(earlier, owner))
+    if (EarlierAttempt* attempt = findUnansweredAttempt(earlier, owner))
         attempt->unreachable = true;
 }
 
@@ -92,17 +92,17 @@
 // run it. Any other answer refuses the request with that owner's state.
 AttemptsVerdict decideAttempts(const EarlierAttempts& earlier, const AttemptsOptions& options)
 {
-    AttemptsVerdict settled { AttemptsDecision::Run, {} };
+    AttemptsVerdict combined { AttemptsDecision::Run, {} };
     if (!options.guard)
-        return settled;
+        return combined;
     if (earlier.tooMany)
         return refuse(Ran::Unknown, RefusalReason::EarlierAttemptUnknown);
     for (const EarlierAttempt& attempt : earlier.attempts) {
-        const AttemptsVerdict verdict = decideOne(attempt);
-        if (weightOf(verdict) > weightOf(settled))
-            settled = verdict;
+        const AttemptsVerdict verdict = decideAttempt(attempt);
+        if (precedenceOf(verdict) > precedenceOf(combined))
+            combined = verdict;
     }
-    return settled;
+    return combined;
 }
 
 }
--- a/src/libdecision/attempts.h
+++ b/src/libdecision/attempts.h
@@ -48,15 +48,15 @@
     RefusalVerdict refusal;
 };
 
-/// Collects the owners that the request names. The own process, `mine`, is left out since its own ledger is checked
+/// Collects the owners that the request names. The own process, `ownToken`, is left out since its own ledger is checked
 /// separately.
-EarlierAttempts startAttempts(std::span<const OwnerToken> owners, const OwnerToken& mine);
+EarlierAttempts collectEarlierAttempts(std::span<const OwnerToken> owners, const OwnerToken& ownToken);
 
-/// Records an owner's answer. Only the first answer of an owner counts, and none after noteUnreachable().
-void noteAnswer(EarlierAttempts&, const OwnerToken& owner, LedgerState);
+/// Records an owner's answer. Only the first answer of an owner counts, and none after recordUnreachable().
+void recordAnswer(EarlierAttempts&, const OwnerToken& owner, LedgerState);
 
 /// Records that the owner is gone or has not answered in time.
-void noteUnreachable(EarlierAttempts&, const OwnerToken& owner);
+void recordUnreachable(EarlierAttempts&, const OwnerToken& owner);
 
 /// Decides whether the request may run here now. Run and Refuse are final.
 AttemptsVerdict decideAttempts(const EarlierAttempts&, const AttemptsOptions& options = {});
--- a/src/libdecision/closedflows.cpp
+++ b/src/libdecision/closedflows.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-    void forgetOldest(ClosedFlows& closed)
+    void removeOldest(ClosedFlows& closed)
     {
         closed.reasons.erase(closed.order.front().first);
         closed.order.pop_front();
@@ -17,16 +17,16 @@
 // reused, so an open of a closed flow is always such a late copy. The reason is kept because the packet that reported it may
 // be lost: the caller of an idle flow that a draining agent closed would otherwise be told that the flow is unknown and
 // count it as broken.
-void noteClosed(ClosedFlows& closed, const ClosedFlowOptions& options, FlowId flow, RefusalReason reason, Millis now)
+void recordClosedFlow(ClosedFlows& closed, const ClosedFlowOptions& options, FlowId flow, RefusalReason reason, Millis now)
 {
     if (!options.guard || !closed.reasons.emplace(flow, reason).second)
         return;
     closed.order.emplace_back(flow, now);
     if (closed.order.size() > options.maxEntries)
-        forgetOldest(closed);
+        removeOldest(closed);
 }
 
-std::optional<RefusalReason> closedReason(const ClosedFlows& closed, FlowId flow)
+std::optional<RefusalReason> findCloseReason(const ClosedFlows& closed, FlowId flow)
 {
     const auto found = closed.reasons.find(flow);
     if (found == closed.reasons.end())
@@ -34,14 +34,14 @@
     return found->second;
 }
 
-std::size_t expireClosed(ClosedFlows& closed, const ClosedFlowOptions& options, Millis now)
+std::size_t expireClosedFlows(ClosedFlows& closed, const ClosedFlowOptions& options, Millis now)
 {
-    std::size_t forgotten = 0;
-    while (!closed.order.empty() && now - closed.order.front().second > options.keepFor) {
-        forgetOldest(closed);
-        ++forgotten;
+    std::size_t removed = 0;
+    while (!closed.order.empty() && now - closed.order.front().second > options.retention) {
+        removeOldest(closed);
+        ++removed;
     }
-    return forgotten;
+    return removed;
 }
 
 }
--- a/src/libdecision/concurrencylimit.cpp
+++ b/src/libdecision/concurrencylimit.cpp
@@ -8,7 +8,7 @@
 namespace {
 
     /// Samples needed before the baseline is used to detect a rise.
-    constexpr std::uint32_t trustedSamples = 8;
+    constexpr std::uint32_t minBaselineSamples = 8;
     /// Weight of one sample in a settled baseline, which follows a lasting change within about 50 requests.
     constexpr double baselineWeight = 0.02;
     /// A service time is a sudden rise above 3 means and 4 deviations. With exponential service times, one request in 400
@@ -16,29 +16,29 @@
     constexpr double riseMeans = 3;
     constexpr double riseDeviations = 4;
     /// After an idle time, a smaller rise counts. A false detection only costs a few more successes.
-    constexpr double provingMeans = 1.5;
-    constexpr double provingDeviations = 2;
-    constexpr double provingStep = 0.5;
+    constexpr double revalidationMeans = 1.5;
+    constexpr double revalidationDeviations = 2;
+    constexpr double revalidationStep = 0.5;
     /// Smaller rises are attributed to scheduling noise, in milliseconds.
-    constexpr double leastRise = 10;
+    constexpr double minRise = 10;
     /// Consecutive slow requests after which the upstream counts as cold. By chance this happens less than once in ten
     /// million requests.
-    constexpr std::uint32_t slowUntilCold = 3;
-    constexpr double slowCut = 0.7;
-    constexpr std::uint32_t longestStretch = 4;
+    constexpr std::uint32_t slowRequestsUntilCold = 3;
+    constexpr double slowRequestFactor = 0.7;
+    constexpr std::uint32_t maxWarmUpFactor = 4;
     /// A limit at which the upstream shed twice is avoided for this many warm-ups.
     constexpr Millis ceilingWarmUps = 10;
     /// Tolerance for floating-point errors, so that a sum such as 0.7 + 0.3 counts as a whole slot.
-    constexpr double rounding = 1e-6;
+    constexpr double roundingTolerance = 1e-6;
 
     bool hasBaseline(const ConcurrencyLimit& limit)
     {
-        return limit.baseline.samples >= trustedSamples;
+        return limit.baseline.samples >= minBaselineSamples;
     }
 
     std::uint32_t highestLimit(const ConcurrencyLimit& limit, const LimitOptions& options, Millis now)
     {
-        if (limit.ceiling > 0 && now < limit.ceilingUntil)
+        if (limit.ceiling > 0 && now < limit.ceilingExpiresAt)
             return std::min(limit.ceiling, options.slots);
         return options.slots;
     }
@@ -52,7 +52,7 @@
         const double highest = highestLimit(limit, options, now);
         if (!limit.cold || options.warmUp <= 0)
             return highest;
-        const double span = static_cast<double>(options.warmUp) * limit.stretch;
+        const double span = static_cast<double>(options.warmUp) * limit.warmUpFactor;
         const double passed = static_cast<double>(now - limit.coldSince.value_or(now)) / span;
         return 1 + (highest - 1) * std::clamp(passed, 0.0, 1.0);
     }
@@ -60,16 +60,16 @@
     // An upstream that takes longer to warm up than configured fails at the same point of each warm-up and never gets
     // further; with four times the configured time it stays at a fifth of its slots. Each failed warm-up therefore doubles
     // the time, up to four times the configured value; a longer warm-up is a configuration error.
-    void stretchWarmUp(ConcurrencyLimit& limit)
+    void extendWarmUp(ConcurrencyLimit& limit)
     {
-        if (limit.cold && !limit.proving && limit.limit > 1)
-            limit.stretch = std::min(limit.stretch * 2, longestStretch);
+        if (limit.cold && !limit.revalidating && limit.limit > 1)
+            limit.warmUpFactor = std::min(limit.warmUpFactor * 2, maxWarmUpFactor);
     }
 
-    void keepAt(ConcurrencyLimit& limit, std::uint32_t level, Millis until)
+    void setCeiling(ConcurrencyLimit& limit, std::uint32_t level, Millis until)
     {
         limit.ceiling = level;
-        limit.ceilingUntil = until;
+        limit.ceilingExpiresAt = until;
     }
 
     // An upstream that can serve less than its configured slots would shed at full concurrency, warm up and shed again, and
@@ -80,9 +80,9 @@
         const std::uint32_t allowed = allowedConcurrency(limit, options);
         if (limit.cold || allowed < 2)
             return;
-        if (limit.shedAt == allowed)
-            keepAt(limit, allowed - 1, now + ceilingWarmUps * options.warmUp);
-        limit.shedAt = allowed;
+        if (limit.lastShedLimit == allowed)
+            setCeiling(limit, allowed - 1, now + ceilingWarmUps * options.warmUp);
+        limit.lastShedLimit = allowed;
     }
 
     // Pauses starts after failures. If an upstream refuses connections or sheds at a concurrency of one, the queue would be
@@ -95,18 +95,18 @@
         if (now < limit.pausedUntil)
             return;
         Millis pause = options.firstPause;
-        for (std::uint32_t failure = 0; failure < limit.failuresInRow && pause < options.longestPause; ++failure)
+        for (std::uint32_t failure = 0; failure < limit.consecutiveFailures && pause < options.maxPause; ++failure)
             pause *= 2;
-        ++limit.failuresInRow;
-        limit.pausedUntil = now + std::min(pause, options.longestPause);
+        ++limit.consecutiveFailures;
+        limit.pausedUntil = now + std::min(pause, options.maxPause);
     }
 
-    void noteTurnedAway(ConcurrencyLimit& limit, const LimitOptions& options, const LimitSample& sample, Millis now)
+    void recordRejection(ConcurrencyLimit& limit, const LimitOptions& options, const LimitSample& sample, Millis now)
     {
         if (sample.outcome == WorkOutcome::Shed)
             learnCeiling(limit, options, now);
-        stretchWarmUp(limit);
-        startCold(limit);
+        extendWarmUp(limit);
+        beginWarmUp(limit);
         pauseStarts(limit, options, now);
     }
 
@@ -114,32 +114,32 @@
     // would collapse before the first failure. The first slow request lowers the limit, so that requests that end are not
     // replaced until it is clear whether the upstream is cold. Three consecutive slow requests make it cold. A single slow
     // request is an ordinary outlier and costs one round of growth.
-    void noteSlow(ConcurrencyLimit& limit)
+    void recordSlowRequest(ConcurrencyLimit& limit)
     {
-        if (++limit.slowInRow >= slowUntilCold) {
-            stretchWarmUp(limit);
-            startCold(limit);
+        if (++limit.consecutiveSlowRequests >= slowRequestsUntilCold) {
+            extendWarmUp(limit);
+            beginWarmUp(limit);
             return;
         }
-        limit.limit = std::max(1.0, limit.limit * slowCut);
+        limit.limit = std::max(1.0, limit.limit * slowRequestFactor);
     }
 
     // Holds the limit at a peak that was found. The peak may have been found during a warm-up or while the host was shared,
     // and holding it for long would leave capacity unused. It is held for one warm-up first, and twice as long each time the
     // same peak is found again, up to ten warm-ups. Above a known peak the search must finish a level before the next is tried,
     // since growth would otherwise pass all levels before they can be compared.
-    void keepPeak(ConcurrencyLimit& limit, const LimitOptions& options, std::uint32_t level, Millis now)
+    void holdPeak(ConcurrencyLimit& limit, const LimitOptions& options, std::uint32_t level, Millis now)
     {
-        const bool isSame = limit.keptLevel == level;
-        limit.keptFor = isSame ? std::min(limit.keptFor * 2, ceilingWarmUps * options.warmUp) : options.warmUp;
-        limit.keptLevel = level;
-        keepAt(limit, level, now + limit.keptFor);
+        const bool isSame = limit.peakLevel == level;
+        limit.peakHoldTime = isSame ? std::min(limit.peakHoldTime * 2, ceilingWarmUps * options.warmUp) : options.warmUp;
+        limit.peakLevel = level;
+        setCeiling(limit, level, now + limit.peakHoldTime);
     }
 
     void searchPeak(ConcurrencyLimit& limit, const LimitOptions& options, Millis serviceTime, Millis now)
     {
         const std::uint32_t level = allowedConcurrency(limit, options);
-        switch (notePeakSample(limit.peak, level, static_cast<double>(serviceTime))) {
+        switch (recordPeakSample(limit.peak, level, static_cast<double>(serviceTime))) {
         case PeakAction::Stay:
             break;
         case PeakAction::Lower:
@@ -150,47 +150,47 @@
             break;
         case PeakAction::ReturnAndKeep:
             limit.limit = level + 1;
-            keepPeak(limit, options, level + 1, now);
+            holdPeak(limit, options, level + 1, now);
             break;
         case PeakAction::Keep:
-            keepPeak(limit, options, level, now);
+            holdPeak(limit, options, level, now);
             break;
         }
     }
 
     bool mustMeasureFirst(const ConcurrencyLimit& limit, std::uint32_t level)
     {
-        return limit.keptLevel > 0 && level > limit.keptLevel && !isMeasuredAt(limit.peak, level);
+        return limit.peakLevel > 0 && level > limit.peakLevel && !isMeasuredAt(limit.peak, level);
     }
 
-    void grow(ConcurrencyLimit& limit, const LimitOptions& options, Millis now)
+    void raiseLimit(ConcurrencyLimit& limit, const LimitOptions& options, Millis now)
     {
         if (mustMeasureFirst(limit, allowedConcurrency(limit, options)))
             return;
         const double bound = warmUpBound(limit, options, now);
-        const double step = (limit.proving ? provingStep : 1) / limit.limit;
+        const double step = (limit.revalidating ? revalidationStep : 1) / limit.limit;
         limit.limit = std::min(limit.limit + step, std::max(bound, limit.limit));
-        if (limit.limit + rounding < highestLimit(limit, options, now))
+        if (limit.limit + roundingTolerance < highestLimit(limit, options, now))
             return;
         limit.limit = highestLimit(limit, options, now);
         limit.cold = false;
-        limit.proving = false;
-        limit.stretch = 1;
+        limit.revalidating = false;
+        limit.warmUpFactor = 1;
     }
 
-    void noteSuccess(ConcurrencyLimit& limit, const LimitOptions& options, const LimitSample& sample, Millis now)
+    void recordSuccess(ConcurrencyLimit& limit, const LimitOptions& options, const LimitSample& sample, Millis now)
     {
         if (!limit.coldSince)
             limit.coldSince = now;
-        limit.failuresInRow = 0;
-        limit.slowInRow = 0;
-        if (sample.measured)
-            noteServiceTime(limit.baseline, static_cast<double>(sample.serviceTime), baselineWeight);
+        limit.consecutiveFailures = 0;
+        limit.consecutiveSlowRequests = 0;
+        if (sample.comparable)
+            recordServiceTime(limit.baseline, static_cast<double>(sample.serviceTime), baselineWeight);
         const bool limitWasUsed = sample.busy >= allowedConcurrency(limit, options);
-        if (limitWasUsed && sample.measured)
+        if (limitWasUsed && sample.comparable)
             searchPeak(limit, options, sample.serviceTime, now);
-        if (limitWasUsed && !sample.holdGrowth && !limit.peak.onTrial)
-            grow(limit, options, now);
+        if (limitWasUsed && !sample.preventGrowth && !limit.peak.onTrial)
+            raiseLimit(limit, options, now);
     }
 
 }
@@ -199,24 +199,24 @@
 {
     if (!hasBaseline(limit))
         return false;
-    const double means = limit.proving ? provingMeans : riseMeans;
-    const double deviations = limit.proving ? provingDeviations : riseDeviations;
+    const double means = limit.revalidating ? revalidationMeans : riseMeans;
+    const double deviations = limit.revalidating ? revalidationDeviations : riseDeviations;
     const double rise = means * limit.baseline.mean + deviations * limit.baseline.deviation;
-    return static_cast<double>(serviceTime) > std::max(rise, limit.baseline.mean + leastRise);
+    return static_cast<double>(serviceTime) > std::max(rise, limit.baseline.mean + minRise);
 }
 
 // The warm-up is timed from the first success, not from the last refused connection. Otherwise it would run ahead of the
 // upstream's own warm-up by the length of the pause, and the limit would exceed what the upstream can serve.
-void startCold(ConcurrencyLimit& limit)
+void beginWarmUp(ConcurrencyLimit& limit)
 {
     limit.limit = 1;
     limit.cold = true;
-    limit.proving = false;
+    limit.revalidating = false;
     limit.coldSince = std::nullopt;
     limit.baseline = {};
-    limit.slowInRow = 0;
+    limit.consecutiveSlowRequests = 0;
     limit.peak = {};
-    limit.keptLevel = 0;
+    limit.peakLevel = 0;
     ++limit.coldStarts;
 }
 
@@ -224,35 +224,35 @@
 // concurrency. The limit therefore restarts at one and rises over two rounds of successes for each slot, about ten service
 // times in all. The baseline is kept, so that the first slow request reveals a cold upstream. A running peak search is
 // aborted: its trial would hold the limit at one while only long work arrives, which has no comparable service times.
-void noteIdleStart(ConcurrencyLimit& limit, const LimitOptions& options, Millis now)
+void restartLimitAfterIdle(ConcurrencyLimit& limit, const LimitOptions& options, Millis now)
 {
-    if (!limit.lastCompletion || now - *limit.lastCompletion < options.idleBeforeProof)
+    if (!limit.lastCompletion || now - *limit.lastCompletion < options.idleBeforeRevalidation)
         return;
     limit.limit = 1;
     limit.cold = true;
-    limit.proving = hasBaseline(limit);
+    limit.revalidating = hasBaseline(limit);
     limit.peak = {};
     limit.lastCompletion = now;
 }
 
-void noteCompletion(ConcurrencyLimit& limit, const LimitOptions& options, const LimitSample& sample, Millis now)
+void recordCompletion(ConcurrencyLimit& limit, const LimitOptions& options, const LimitSample& sample, Millis now)
 {
     if (!options.guard)
         return;
     limit.lastCompletion = now;
     if (sample.outcome == WorkOutcome::Shed || sample.outcome == WorkOutcome::Failed)
-        noteTurnedAway(limit, options, sample, now);
-    else if (sample.measured && isSuddenRise(limit, sample.serviceTime))
-        noteSlow(limit);
+        recordRejection(limit, options, sample, now);
+    else if (sample.comparable && isSuddenRise(limit, sample.serviceTime))
+        recordSlowRequest(limit);
     else if (sample.outcome == WorkOutcome::Succeeded)
-        noteSuccess(limit, options, sample, now);
+        recordSuccess(limit, options, sample, now);
 }
 
 std::uint32_t allowedConcurrency(const ConcurrencyLimit& limit, const LimitOptions& options)
 {
     if (!options.guard)
         return options.slots;
-    const auto whole = static_cast<std::uint32_t>(std::floor(limit.limit + rounding));
+    const auto whole = static_cast<std::uint32_t>(std::floor(limit.limit + roundingTolerance));
     return std::max<std::uint32_t>(1, std::min(whole, options.slots));
 }
 
--- a/src/libdecision/concurrencylimit.h
+++ b/src/libdecision/concurrencylimit.h
@@ -34,9 +34,9 @@
     Millis warmUp = 10000;
     /// The first and the longest pause after consecutive failures of a cold upstream, in milliseconds.
     Millis firstPause = 50;
-    Millis longestPause = 1000;
+    Millis maxPause = 1000;
     /// After this long without work the limit restarts at one and rises with successes alone, in milliseconds.
-    Millis idleBeforeProof = 30000;
+    Millis idleBeforeRevalidation = 30000;
     /// Test only: when off, the limit is always `slots`.
     bool guard = true;
 };
@@ -50,29 +50,29 @@
     bool cold = true;
     /// Cold only because of a long idle time. The limit does not follow the warm-up's schedule, and a smaller rise of the
     /// service time counts as a sign of a cold upstream.
-    bool proving = false;
+    bool revalidating = false;
     /// When the warm-up began, which is the time of the first success; nothing before.
     std::optional<Millis> coldSince;
     /// The factor by which the warm-up is prolonged after the upstream shed work during a warm-up.
-    std::uint32_t stretch = 1;
+    std::uint32_t warmUpFactor = 1;
     /// No request may start before this time.
     Millis pausedUntil = 0;
-    std::uint32_t failuresInRow = 0;
+    std::uint32_t consecutiveFailures = 0;
     /// The service time of short work, learned over many requests.
     ServiceTime baseline;
-    std::uint32_t slowInRow = 0;
+    std::uint32_t consecutiveSlowRequests = 0;
     /// When a request last ended here.
     std::optional<Millis> lastCompletion;
     /// The search for the concurrency with the highest throughput.
     PeakSearch peak;
     /// The peak found last, and how long the limit is held there, in milliseconds.
-    std::uint32_t keptLevel = 0;
-    Millis keptFor = 0;
+    std::uint32_t peakLevel = 0;
+    Millis peakHoldTime = 0;
     /// The limit at which the upstream last shed, and the upper bound learned from sheds or from the peak with its expiry
     /// time.
-    std::uint32_t shedAt = 0;
+    std::uint32_t lastShedLimit = 0;
     std::uint32_t ceiling = 0;
-    Millis ceilingUntil = 0;
+    Millis ceilingExpiresAt = 0;
     /// How often the upstream was found cold, for metrics.
     std::uint64_t coldStarts = 0;
 };
@@ -82,22 +82,22 @@
     WorkOutcome outcome = WorkOutcome::Succeeded;
     /// Whether its service time can be compared with that of other requests. The service time of long work depends on its
     /// size.
-    bool measured = true;
+    bool comparable = true;
     Millis serviceTime = 0;
     /// Requests at the upstream when it ended, itself included.
     std::uint32_t busy = 1;
     /// Keeps the limit from rising because a hint reports an unhealthy or occupied upstream.
-    bool holdGrowth = false;
+    bool preventGrowth = false;
 };
 
 /// Updates the limit with a request that ended.
-void noteCompletion(ConcurrencyLimit&, const LimitOptions&, const LimitSample&, Millis now);
+void recordCompletion(ConcurrencyLimit&, const LimitOptions&, const LimitSample&, Millis now);
 
 /// Restarts the limit at one after a long idle time. To be called before a request starts at an idle upstream.
-void noteIdleStart(ConcurrencyLimit&, const LimitOptions&, Millis now);
+void restartLimitAfterIdle(ConcurrencyLimit&, const LimitOptions&, Millis now);
 
 /// Starts a warm-up: sets the limit to one slot and discards the learned service time.
-void startCold(ConcurrencyLimit&);
+void beginWarmUp(ConcurrencyLimit&);
 
 /// The number of requests that may be at the upstream now: at least 1, at most `slots`.
 std::uint32_t allowedConcurrency(const ConcurrencyLimit&, const LimitOptions&);
--- a/src/libdecision/configorder.cpp
+++ b/src/libdecision/configorder.cpp
@@ -7,26 +7,26 @@
 // A slow watch or a peer that was partitioned may deliver an older configuration after a newer one, which could return a data
 // centre to service by itself. The platform's conditional write only assigns growing versions, so comparing versions is
 // enough for any order of delivery.
-bool supersedes(ConfigVersion held, ConfigVersion offered, const ConfigOrderOptions& options)
+bool supersedes(ConfigVersion currentVersion, ConfigVersion offeredVersion, const ConfigOrderOptions& options)
 {
     if (!options.guard)
-        return offered != held && offered != 0;
-    return offered > held;
+        return offeredVersion != currentVersion && offeredVersion != 0;
+    return offeredVersion > currentVersion;
 }
 
 // A balancer that has not received the return of a data centre resets the flows that its agents open, so that a planned
 // change would cut feeds. Heartbeats carry each balancer's version, and the agent waits for all balancers linked to it. The
 // link of a paused balancer is closed after a while, and a resumed balancer reads its pending messages first.
-bool mayReturn(ConfigVersion back, std::span<const ConfigVersion> balancers, const ConfigOrderOptions& options)
+bool mayAcceptFlowsAfterReturn(ConfigVersion returnVersion, std::span<const ConfigVersion> balancers, const ConfigOrderOptions& options)
 {
-    return !options.returnGuard || std::ranges::all_of(balancers, [back](ConfigVersion version) { return version >= back; });
+    return !options.returnGuard || std::ranges::all_of(balancers, [returnVersion](ConfigVersion version) { return version >= returnVersion; });
 }
 
-ConfigStep nextConfigStep(ConfigVersion mine, ConfigVersion theirs)
+ConfigStep nextConfigStep(ConfigVersion ownVersion, ConfigVersion peerVersion)
 {
-    if (theirs > mine)
+    if (peerVersion > ownVersion)
         return ConfigStep::Fetch;
-    if (theirs < mine)
+    if (peerVersion < ownVersion)
         return ConfigStep::Offer;
     return ConfigStep::Nothing;
 }
--- a/src/libdecision/configorder.h
+++ b/src/libdecision/configorder.h
@@ -15,11 +15,11 @@
 };
 
 /// Whether a received configuration replaces the current one. Version 0 means no configuration.
-bool supersedes(ConfigVersion held, ConfigVersion offered, const ConfigOrderOptions& options = {});
+bool supersedes(ConfigVersion currentVersion, ConfigVersion offeredVersion, const ConfigOrderOptions& options = {});
 
-/// Whether an agent whose data centre was returned to service by configuration `back` may accept new
+/// Whether an agent whose data centre was returned to service by configuration `returnVersion` may accept new
 /// flows, given the versions that its linked balancers have reported.
-bool mayReturn(ConfigVersion back, std::span<const ConfigVersion> balancers, const ConfigOrderOptions& options = {});
+bool mayAcceptFlowsAfterReturn(ConfigVersion returnVersion, std::span<const ConfigVersion> balancers, const ConfigOrderOptions& options = {});
 
 /// What to do with a peer whose heartbeat carries a configuration version.
 enum class ConfigStep : std::uint8_t {
@@ -35,7 +35,7 @@
     static constexpr std::array<std::string_view, 3> names { "nothing", "fetch", "offer" };
 };
 
-/// The step for a peer at version `theirs`.
-ConfigStep nextConfigStep(ConfigVersion mine, ConfigVersion theirs);
+/// The step for a peer at version `peerVersion`.
+ConfigStep nextConfigStep(ConfigVersion ownVersion, ConfigVersion peerVersion);
 
 }
--- a/src/libdecision/drain.cpp
+++ b/src/libdecision/drain.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-    bool newsIsOut(const DrainProgress& progress, const DrainOptions& options, Millis now)
+    bool hasAnnouncementSpread(const DrainProgress& progress, const DrainOptions& options, Millis now)
     {
         return progress.announced && now - progress.announcedAt >= options.announceGrace;
     }
@@ -12,7 +12,7 @@
     // The packet that reports the close of an idle flow may be lost with a balancer. If the agent exited at once, the
     // caller's next packet would reach the successor, which can only report that the owner is gone, and the flow would count
     // as broken.
-    bool callersWereTold(const DrainProgress& progress, const DrainOptions& options, Millis now)
+    bool hasCloseGracePassed(const DrainProgress& progress, const DrainOptions& options, Millis now)
     {
         return progress.lastClosedAt == 0 || now - progress.lastClosedAt >= options.closeGrace;
     }
@@ -26,7 +26,7 @@
 // close opens its next flow elsewhere and loses nothing.
 DrainFlowStep drainFlow(const DrainFlow& flow, const DrainProgress& progress, const DrainOptions& options, Millis now)
 {
-    if (flow.pending > 0 || !newsIsOut(progress, options, now))
+    if (flow.pending > 0 || !hasAnnouncementSpread(progress, options, now))
         return DrainFlowStep::Keep;
     return now - flow.idleSince >= options.idleBeforeClose ? DrainFlowStep::CloseIdle : DrainFlowStep::Keep;
 }
@@ -37,12 +37,12 @@
 // and later requests are new work.
 bool refusesNewWork(const DrainProgress& progress, const DrainOptions& options, Millis now)
 {
-    return newsIsOut(progress, options, now);
+    return hasAnnouncementSpread(progress, options, now);
 }
 
 DrainStep nextDrainStep(std::span<const DrainFlow> flows, const DrainProgress& progress, const DrainOptions& options, Millis now)
 {
-    if (flows.empty() && newsIsOut(progress, options, now) && callersWereTold(progress, options, now))
+    if (flows.empty() && hasAnnouncementSpread(progress, options, now) && hasCloseGracePassed(progress, options, now))
         return DrainStep::Done;
     if (options.limit > 0 && now - progress.startedAt >= options.limit)
         return DrainStep::LimitReached;
--- a/src/libdecision/forwarding.cpp
+++ b/src/libdecision/forwarding.cpp
@@ -11,7 +11,7 @@
 
     // Forwards a packet, or drops it when its hops are used up. It is not reset, since another agent may hold the flow and
     // the reset would break it. The endpoints retransmit, and close a dead flow by its timeout.
-    PacketVerdict passOn(const PacketFacts& facts, PacketAction action)
+    PacketVerdict forward(const PacketFacts& facts, PacketAction action)
     {
         if (facts.hops >= maxHops)
             return { PacketAction::Drop, RefusalReason::FlowUnknown };
@@ -22,42 +22,42 @@
     // of the old service, and one service could get another's uploads. Only the agent can check this, since it knows the
     // service of its upstream; an open flow keeps the address it was opened with. Such a packet of an open flow is dropped,
     // not reset, because the flow itself is intact and one misdirected packet must not end a feed.
-    bool serviceIsRight(const PacketFacts& facts, const ForwardingOptions& options)
+    bool isServiceAccepted(const PacketFacts& facts, const ForwardingOptions& options)
     {
         return facts.serviceMatches || !options.serviceGuard;
     }
 
-    PacketVerdict decideHeld(const PacketFacts& facts, const ForwardingOptions& options)
+    PacketVerdict decideForHeldFlow(const PacketFacts& facts, const ForwardingOptions& options)
     {
         if (facts.dataCentreOut)
             return reset(RefusalReason::DataCentreOut);
-        if (!serviceIsRight(facts, options))
+        if (!isServiceAccepted(facts, options))
             return { PacketAction::Drop, RefusalReason::WrongService };
         return { PacketAction::Deliver, RefusalReason::None };
     }
 
     // Only the process that a token names can state that its flow has ended. A successor can state it for its predecessor,
     // since its incarnation was assigned only after the predecessor was fenced.
-    PacketVerdict decideOwned(const PacketFacts& facts)
+    PacketVerdict decideByToken(const PacketFacts& facts)
     {
-        if (facts.tokenIsMine)
-            return reset(facts.dataCentreOut ? RefusalReason::DataCentreOut : facts.endedFor.value_or(RefusalReason::FlowUnknown));
+        if (facts.tokenIsOwn)
+            return reset(facts.dataCentreOut ? RefusalReason::DataCentreOut : facts.closeReason.value_or(RefusalReason::FlowUnknown));
         if (facts.tokenIsPredecessor)
             return reset(facts.dataCentreOut ? RefusalReason::DataCentreOut : RefusalReason::OwnerGone);
-        return passOn(facts, PacketAction::ForwardToOwner);
+        return forward(facts, PacketAction::ForwardToOwner);
     }
 
-    PacketVerdict decideOpen(const PacketFacts& facts, const ForwardingOptions& options)
+    PacketVerdict decideForOpen(const PacketFacts& facts, const ForwardingOptions& options)
     {
-        const bool mayPassOn = facts.hops < maxHops;
-        if (facts.endedFor)
-            return reset(*facts.endedFor);
+        const bool canForward = facts.hops < maxHops;
+        if (facts.closeReason)
+            return reset(*facts.closeReason);
         if (facts.dataCentreOut)
-            return mayPassOn ? passOn(facts, PacketAction::NextInRanking) : reset(RefusalReason::DataCentreOut);
-        if (!serviceIsRight(facts, options))
+            return canForward ? forward(facts, PacketAction::NextInRanking) : reset(RefusalReason::DataCentreOut);
+        if (!isServiceAccepted(facts, options))
             return reset(RefusalReason::WrongService);
         if (facts.draining)
-            return mayPassOn ? passOn(facts, PacketAction::NextInRanking) : reset(RefusalReason::UpstreamDraining);
+            return canForward ? forward(facts, PacketAction::NextInRanking) : reset(RefusalReason::UpstreamDraining);
         return { PacketAction::Open, RefusalReason::None };
     }
 
@@ -65,16 +65,16 @@
 
 PacketVerdict decidePacket(const PacketFacts& facts, const ForwardingOptions& options)
 {
-    const bool namesAnother = facts.hasToken && !facts.tokenIsMine;
-    if (facts.holdsFlow && !namesAnother)
-        return decideHeld(facts, options);
+    const bool tokenNamesOther = facts.hasToken && !facts.tokenIsOwn;
+    if (facts.holdsFlow && !tokenNamesOther)
+        return decideForHeldFlow(facts, options);
     if (facts.hasToken)
-        return decideOwned(facts);
+        return decideByToken(facts);
     if (facts.redirectFound)
-        return passOn(facts, PacketAction::ForwardToOwner);
+        return forward(facts, PacketAction::ForwardToOwner);
     if (facts.isOpen)
-        return decideOpen(facts, options);
-    return passOn(facts, PacketAction::NextInRanking);
+        return decideForOpen(facts, options);
+    return forward(facts, PacketAction::NextInRanking);
 }
 
 }
--- a/src/libdecision/forwarding.h
+++ b/src/libdecision/forwarding.h
@@ -30,12 +30,12 @@
     bool isOpen = false;
     bool hasToken = false;
     /// The owner token names this process.
-    bool tokenIsMine = false;
+    bool tokenIsOwn = false;
     /// The owner token names an older incarnation of this agent's upstream.
     bool tokenIsPredecessor = false;
     bool holdsFlow = false;
     /// The reason for which the flow was closed here recently.
-    std::optional<RefusalReason> endedFor;
+    std::optional<RefusalReason> closeReason;
     bool redirectFound = false;
     /// For a flow held here: the packet's address is the one recorded at open. Otherwise: the address is configured for this
     /// agent's service.
--- a/src/libdecision/idleclose.cpp
+++ b/src/libdecision/idleclose.cpp
@@ -5,13 +5,13 @@
 
 namespace kingcuptrail {
 
-bool showsRestart(IdleCloseHistory& history, const IdleCloseOptions& options, Millis life, bool toldWhy)
+bool indicatesRestart(IdleCloseHistory& history, const IdleCloseOptions& options, Millis lifetime, bool sentDataBeforeClose)
 {
-    if (toldWhy)
+    if (sentDataBeforeClose)
         return false;
-    const Millis tolerance = std::max(options.leastVariation, static_cast<Millis>(options.variation * static_cast<double>(history.usualLife)));
-    const bool isUsual = history.usualLife > 0 && std::abs(life - history.usualLife) <= tolerance;
-    history.usualLife = life;
+    const Millis tolerance = std::max(options.minVariation, static_cast<Millis>(options.variation * static_cast<double>(history.usualLifetime)));
+    const bool isUsual = history.usualLifetime > 0 && std::abs(lifetime - history.usualLifetime) <= tolerance;
+    history.usualLifetime = lifetime;
     return !isUsual;
 }
 
--- a/src/libdecision/lease.cpp
+++ b/src/libdecision/lease.cpp
@@ -4,39 +4,39 @@
 
 namespace kingcuptrail {
 
-LeaseView watchLease(Millis lease, std::uint64_t renewals, Millis now)
+LeaseView observeLease(Millis lease, std::uint64_t renewals, Millis now)
 {
-    return { .lease = lease, .renewals = renewals, .unrenewed = 0, .lastLook = now };
+    return { .lease = lease, .renewals = renewals, .timeSinceRenewal = 0, .lastObservedAt = now };
 }
 
-void noteRenewal(LeaseView& view, std::uint64_t renewals, Millis now)
+void recordRenewal(LeaseView& view, std::uint64_t renewals, Millis now)
 {
     if (renewals <= view.renewals)
         return;
     view.renewals = renewals;
-    view.unrenewed = 0;
-    view.lastLook = now;
+    view.timeSinceRenewal = 0;
+    view.lastObservedAt = now;
 }
 
 // During a platform outage no holder can renew, and all leases would lapse at once and leave no upstream for new flows. An
 // observer that was paused has not watched the leases either. Therefore only time counts in which the platform answered and
 // the observer ran, and at most a second between two observations.
-void watchTime(LeaseView& view, const LeaseOptions& options, bool platformAnswers, Millis now)
+void addObservedTime(LeaseView& view, const LeaseOptions& options, bool isPlatformReachable, Millis now)
 {
-    const Millis step = std::clamp<Millis>(now - view.lastLook, 0, options.longestStep);
-    view.lastLook = now;
-    if (platformAnswers)
-        view.unrenewed += step;
+    const Millis step = std::clamp<Millis>(now - view.lastObservedAt, 0, options.maxStep);
+    view.lastObservedAt = now;
+    if (isPlatformReachable)
+        view.timeSinceRenewal += step;
 }
 
 bool isLapsed(const LeaseView& view)
 {
-    return view.unrenewed >= view.lease;
+    return view.timeSinceRenewal >= view.lease;
 }
 
-bool mayTakeNewWork(Incarnation mine, std::optional<Incarnation> announced)
+bool mayAcceptNewWork(Incarnation ownIncarnation, std::optional<Incarnation> announced)
 {
-    return !announced || *announced <= mine;
+    return !announced || *announced <= ownIncarnation;
 }
 
 }
--- a/src/libdecision/ledger.cpp
+++ b/src/libdecision/ledger.cpp
@@ -29,7 +29,7 @@
         entry.state = LedgerState::Running;
     }
 
-    // Removing a key to make room would let its request run twice, so only keys older than `keepFor`, which no caller sends
+    // Removing a key to make room would let its request run twice, so only keys older than `retention`, which no caller sends
     // any more, are removed. When the ledger is still full, requests are refused as not run, which is true and safe to retry
     // elsewhere.
     bool hasRoom(Ledger& ledger, const LedgerOptions& options, Millis now)
@@ -96,11 +96,11 @@
         return;
     LedgerEntry& entry = found->second;
     const bool isOutcome = outcome == LedgerState::Ran || outcome == LedgerState::NotRun || outcome == LedgerState::Unknown;
-    const bool ends = entry.state == LedgerState::Running && isOutcome;
-    const bool clears = entry.state == LedgerState::Unknown && outcome == LedgerState::Ran;
-    if (!ends && !clears)
+    const bool completes = entry.state == LedgerState::Running && isOutcome;
+    const bool resolvesUnknown = entry.state == LedgerState::Unknown && outcome == LedgerState::Ran;
+    if (!completes && !resolvesUnknown)
         return;
-    const bool fenced = outcome == LedgerState::NotRun && entry.asked;
+    const bool fenced = outcome == LedgerState::NotRun && entry.isQueried;
     settle(ledger, found->first, entry, fenced ? LedgerState::Fenced : outcome, now);
 }
 
@@ -117,7 +117,7 @@
         return fenceUnseen(ledger, options, name, now);
     LedgerEntry& entry = found->second;
     const LedgerState state = entry.state;
-    entry.asked = true;
+    entry.isQueried = true;
     const bool notRun = state == LedgerState::NotRun || state == LedgerState::Fenced;
     if (notRun)
         settle(ledger, name, entry, LedgerState::Fenced, now);
@@ -130,7 +130,7 @@
     while (expired < expiredPerCall && !ledger.settled.empty()) {
         const auto oldest = ledger.settled.begin();
         const auto entry = ledger.entries.find(oldest->second);
-        if (now - entry->second.settledAt <= options.keepFor)
+        if (now - entry->second.settledAt <= options.retention)
             break;
         ledger.entries.erase(entry);
         ledger.settled.erase(oldest);
--- a/src/libdecision/ledger.h
+++ b/src/libdecision/ledger.h
@@ -45,7 +45,7 @@
     /// The maximum number of keys, about 200 bytes each.
     std::size_t maxEntries = 20000;
     /// How long a settled key is kept, in milliseconds. This must be longer than callers resend a key.
-    Millis keepFor = 600000;
+    Millis retention = 600000;
     /// Test only: when off, a request runs each time it arrives.
     bool guard = true;
 };
@@ -53,7 +53,7 @@
 struct LedgerEntry {
     LedgerState state = LedgerState::Running;
     /// Another owner has queried the key: a running request may finish, but must not run again.
-    bool asked = false;
+    bool isQueried = false;
     /// The position in the order in which keys settled; 0 while the request runs.
     std::uint64_t settledOrder = 0;
     Millis settledAt = 0;
@@ -82,7 +82,7 @@
 /// Returns Unknown if the ledger has no room to record this.
 LedgerState queryAndFence(Ledger&, const LedgerOptions&, std::string_view key, Millis now);
 
-/// Removes keys that settled longer than `keepFor` ago, a bounded number in one call. Returns the number removed.
+/// Removes keys that settled longer than `retention` ago, a bounded number in one call. Returns the number removed.
 std::size_t expireLedger(Ledger&, const LedgerOptions&, Millis now);
 
 }
--- a/src/libdecision/pacing.cpp
+++ b/src/libdecision/pacing.cpp
@@ -20,10 +20,10 @@
 
 Millis silenceLimit(Millis interval, const PacingOptions& options)
 {
-    return interval * (static_cast<Millis>(options.missed) + 1);
+    return interval * (static_cast<Millis>(options.missedHeartbeats) + 1);
 }
 
-bool isPusher(std::uint64_t self, std::uint64_t peer, std::uint32_t links, std::uint32_t copies)
+bool isSelectedToPush(std::uint64_t self, std::uint64_t peer, std::uint32_t links, std::uint32_t copies)
 {
     return links <= copies || rankWeight(self, peer) % links < copies;
 }
--- a/src/libdecision/pacing.h
+++ b/src/libdecision/pacing.h
@@ -13,7 +13,7 @@
     /// membership.
     std::uint32_t budgetBytesPerSecond = 6000;
     /// The number of lost heartbeats after which a link is closed.
-    std::uint32_t missed = 3;
+    std::uint32_t missedHeartbeats = 3;
 };
 
 /// The interval between heartbeats on each of `links` links, in milliseconds.
@@ -24,6 +24,6 @@
 
 /// Whether this process is one of about `copies` processes that push an update to a peer, out of the `links` that could.
 /// Each process decides for itself with a probability of copies / links; with few links all of them push.
-bool isPusher(std::uint64_t self, std::uint64_t peer, std::uint32_t links, std::uint32_t copies);
+bool isSelectedToPush(std::uint64_t self, std::uint64_t peer, std::uint32_t links, std::uint32_t copies);
 
 }
--- a/src/libdecision/peaksearch.cpp
+++ b/src/libdecision/peaksearch.cpp
@@ -11,7 +11,7 @@
     constexpr std::uint32_t samplesPerLevel = 40;
     constexpr double sampleWeight = 0.025;
     /// A throughput of less than this part of the lower level's starts a trial; the lower level wins the trial only by this factor.
-    constexpr double suspiciousRatio = 0.9;
+    constexpr double trialRatio = 0.9;
     constexpr double winningRatio = 1.05;
 
     double throughput(const PeakSearch& search)
@@ -24,10 +24,10 @@
         return search.atLevel.samples >= samplesPerLevel;
     }
 
-    void moveTo(PeakSearch& search, std::uint32_t level)
+    void changeLevel(PeakSearch& search, std::uint32_t level)
     {
         const bool isNextUp = level == search.level + 1 && isMeasured(search);
-        search.below = isNextUp ? throughput(search) : 0;
+        search.throughputBelow = isNextUp ? throughput(search) : 0;
         const bool isTrialLevel = search.onTrial && level + 1 == search.level;
         if (!isTrialLevel) {
             search.onTrial = false;
@@ -37,25 +37,25 @@
         search.atLevel = {};
     }
 
-    PeakAction tryLower(PeakSearch& search)
+    PeakAction startTrial(PeakSearch& search)
     {
         search.onTrial = true;
-        search.reference = throughput(search);
-        search.below = 0;
+        search.referenceThroughput = throughput(search);
+        search.throughputBelow = 0;
         return PeakAction::Lower;
     }
 
     PeakAction endTrial(PeakSearch& search)
     {
         search.onTrial = false;
-        const bool isBetter = throughput(search) > search.reference * winningRatio;
+        const bool isBetter = throughput(search) > search.referenceThroughput * winningRatio;
         if (!isBetter) {
-            const bool keepAbove = search.confirmed;
+            const bool holdAbove = search.confirmed;
             search.confirmed = false;
-            return keepAbove ? PeakAction::ReturnAndKeep : PeakAction::Return;
+            return holdAbove ? PeakAction::ReturnAndKeep : PeakAction::Return;
         }
         search.confirmed = search.level > 1;
-        return search.confirmed ? tryLower(search) : PeakAction::Keep;
+        return search.confirmed ? startTrial(search) : PeakAction::Keep;
     }
 
 }
@@ -65,17 +65,17 @@
 // slows by the square of the excess), and every request takes longer. The search moves one level at a time and always
 // compares new measurements of both levels: requests that became heavier at every level look the same until a lower level is
 // tried, and must not cost a slot. A trial costs about 40 requests at one slot less.
-PeakAction notePeakSample(PeakSearch& search, std::uint32_t level, double serviceTime)
+PeakAction recordPeakSample(PeakSearch& search, std::uint32_t level, double serviceTime)
 {
     if (level != search.level)
-        moveTo(search, level);
-    noteServiceTime(search.atLevel, serviceTime, sampleWeight);
+        changeLevel(search, level);
+    recordServiceTime(search.atLevel, serviceTime, sampleWeight);
     if (!isMeasured(search))
         return PeakAction::Stay;
     if (search.onTrial)
         return endTrial(search);
-    const bool isSuspicious = level > 1 && throughput(search) < search.below * suspiciousRatio;
-    return isSuspicious ? tryLower(search) : PeakAction::Stay;
+    const bool needsTrial = level > 1 && throughput(search) < search.throughputBelow * trialRatio;
+    return needsTrial ? startTrial(search) : PeakAction::Stay;
 }
 
 bool isMeasuredAt(const PeakSearch& search, std::uint32_t level)
--- a/src/libdecision/peaksearch.h
+++ b/src/libdecision/peaksearch.h
@@ -10,10 +10,10 @@
     std::uint32_t level = 0;
     ServiceTime atLevel;
     /// The throughput of the next lower level, in requests per millisecond, if the limit rose from there; 0 if unknown.
-    double below = 0;
-    /// Whether a lower level is being compared with `reference`, the throughput of the level above it.
+    double throughputBelow = 0;
+    /// Whether a lower level is being compared with `referenceThroughput`, the throughput of the level above it.
     bool onTrial = false;
-    double reference = 0;
+    double referenceThroughput = 0;
     /// At least one lower level had a higher throughput.
     bool confirmed = false;
 };
@@ -32,7 +32,7 @@
 };
 
 /// Adds the service time of a request that ended while the whole limit, `level`, was in use.
-PeakAction notePeakSample(PeakSearch&, std::uint32_t level, double serviceTime);
+PeakAction recordPeakSample(PeakSearch&, std::uint32_t level, double serviceTime);
 
 /// Whether this level has enough samples for a comparison.
 bool isMeasuredAt(const PeakSearch&, std::uint32_t level);
--- a/src/libdecision/placing.cpp
+++ b/src/libdecision/placing.cpp
@@ -11,7 +11,7 @@
         std::uint64_t weight = 0;
     };
 
-    bool mayGetFlows(const Member& member)
+    bool acceptsNewFlows(const Member& member)
     {
         return member.linked && member.state == MemberState::Serving;
     }
@@ -29,7 +29,7 @@
     Choice first;
     Choice second;
     for (std::size_t index = 0; index < members.size(); ++index) {
-        if (!mayGetFlows(members[index]))
+        if (!acceptsNewFlows(members[index]))
             continue;
         const std::uint64_t weight = rankWeight(flow, members[index].token.upstream);
         if (!first.index || weight > first.weight) {
@@ -41,8 +41,8 @@
     }
     if (!first.index)
         return std::nullopt;
-    const bool isNewsFresh = options.newsInterval <= options.longestNewsInterval;
-    if (options.secondChoice && isNewsFresh && second.index && members[*first.index].load > members[*second.index].load + options.secondChoiceMargin)
+    const bool isLoadFresh = options.loadReportInterval <= options.maxLoadReportInterval;
+    if (options.secondChoice && isLoadFresh && second.index && members[*first.index].load > members[*second.index].load + options.secondChoiceMargin)
         return Placement { .member = *second.index, .passedOver = first.index };
     return Placement { .member = *first.index, .passedOver = std::nullopt };
 }
--- a/src/libdecision/placing.h
+++ b/src/libdecision/placing.h
@@ -16,8 +16,8 @@
     /// old, so smaller differences are noise.
     double secondChoiceMargin = 2;
     /// How often members report their load, in milliseconds, and the longest interval at which load is considered.
-    Millis newsInterval = 1000;
-    Millis longestNewsInterval = 3000;
+    Millis loadReportInterval = 1000;
+    Millis maxLoadReportInterval = 3000;
 };
 
 /// The placement of a new flow.
--- a/src/libdecision/ranking.cpp
+++ b/src/libdecision/ranking.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-    bool mayGetPackets(const Member& member)
+    bool acceptsPackets(const Member& member)
     {
         return member.linked && member.state != MemberState::Out;
     }
@@ -42,7 +42,7 @@
     std::uint64_t bestWeight = 0;
     for (std::size_t index = 0; index < members.size(); ++index) {
         const Member& member = members[index];
-        if (!mayGetPackets(member) || std::find(visited.begin(), visited.end(), member.token.upstream) != visited.end())
+        if (!acceptsPackets(member) || std::find(visited.begin(), visited.end(), member.token.upstream) != visited.end())
             continue;
         const std::uint64_t weight = rankWeight(flow, member.token.upstream);
         if (!best || weight > bestWeight) {
--- a/src/libdecision/redirects.h
+++ b/src/libdecision/redirects.h
@@ -15,13 +15,13 @@
     /// The maximum number of entries, about 150 bytes each. 4,000 cover the flows of two upstreams that move here at once.
     std::size_t maxEntries = 4000;
     /// How long an entry is kept without renewal, in milliseconds.
-    Millis keepFor = 600000;
+    Millis retention = 600000;
 };
 
 struct RedirectEntry {
     OwnerToken owner;
     std::uint64_t order = 0;
-    Millis notedAt = 0;
+    Millis recordedAt = 0;
 };
 
 /// The owners of flows for which the ranking names this agent first, but that another agent opened. A lost entry costs hops
@@ -35,18 +35,18 @@
 
 /// Records the owner of a flow. An older incarnation of the recorded upstream is ignored. When the table is full, the oldest
 /// entry is removed.
-void noteRedirect(Redirects&, const RedirectOptions&, FlowId, const OwnerToken& owner, Millis now);
+void recordRedirect(Redirects&, const RedirectOptions&, FlowId, const OwnerToken& owner, Millis now);
 
 /// The recorded owner of a flow, or nothing.
 std::optional<OwnerToken> findRedirect(const Redirects&, const RedirectOptions&, FlowId, Millis now);
 
 /// Removes a flow that was closed.
-void forgetFlow(Redirects&, FlowId);
+void removeRedirect(Redirects&, FlowId);
 
 /// Removes all flows of an owner that is gone and returns their number.
-std::size_t forgetOwner(Redirects&, const OwnerToken& owner);
+std::size_t removeOwner(Redirects&, const OwnerToken& owner);
 
-/// Removes entries older than `keepFor`, a bounded number in one call. Returns the number removed.
+/// Removes entries older than `retention`, a bounded number in one call. Returns the number removed.
 std::size_t expireRedirects(Redirects&, const RedirectOptions&, Millis now);
 
 }
--- a/src/libdecision/retry.cpp
+++ b/src/libdecision/retry.cpp
@@ -25,12 +25,12 @@
     }
 
     /// Refusals after which the flow can still be used.
-    bool flowStays(RefusalReason reason)
+    bool keepsFlow(RefusalReason reason)
     {
         return reason == RefusalReason::BodyCorrupt;
     }
 
-    RetryVerdict giveUp(RetryReason reason)
+    RetryVerdict noRetry(RetryReason reason)
     {
         return { .retry = false, .reason = reason };
     }
@@ -59,15 +59,15 @@
     // caller that waited for the whole delay before it tries another upstream would miss its deadline while other upstreams
     // are idle. Only the first retry, for which the ranking selects another upstream, is sent earlier. If that is refused
     // too, all upstreams are loaded, and the requested delays are kept.
-    Millis waitBefore(const RetryOptions& options, const RetryFacts& facts, const AttemptResult& result, bool newFlow)
+    Millis delayBeforeRetry(const RetryOptions& options, const RetryFacts& facts, const AttemptResult& result, bool newFlow)
     {
-        const bool mayHurry = newFlow && facts.tries == 1;
-        return mayHurry ? std::min(result.retryAfter, options.firstRetryWait) : result.retryAfter;
+        const bool isFirstOnNewFlow = newFlow && facts.tries == 1;
+        return isFirstOnNewFlow ? std::min(result.retryAfter, options.maxFirstRetryDelay) : result.retryAfter;
     }
 
 }
 
-void noteFirstTry(RetryBudget& budget, const RetryOptions& options)
+void recordFirstTry(RetryBudget& budget, const RetryOptions& options)
 {
     budget.tokens = std::min(budget.tokens + options.ratio, options.burst);
 }
@@ -80,22 +80,22 @@
 {
     const RetryReason reason = reasonToRetry(facts, result);
     if (!isRetried(reason))
-        return giveUp(reason);
+        return noRetry(reason);
     if (facts.tries >= options.maxTries)
-        return giveUp(RetryReason::AttemptsSpent);
-    const bool newFlow = result.flowSilent || !flowStays(result.reason);
-    const Millis delay = waitBefore(options, facts, result, newFlow);
-    if (facts.now + delay + options.leastTimeLeft > facts.deadline)
-        return giveUp(RetryReason::DeadlineTooNear);
+        return noRetry(RetryReason::AttemptsSpent);
+    const bool newFlow = result.flowSilent || !keepsFlow(result.reason);
+    const Millis delay = delayBeforeRetry(options, facts, result, newFlow);
+    if (facts.now + delay + options.minTimeLeft > facts.deadline)
+        return noRetry(RetryReason::DeadlineTooNear);
     if (budget.tokens < 1)
-        return giveUp(RetryReason::BudgetEmpty);
+        return noRetry(RetryReason::BudgetEmpty);
     budget.tokens -= 1;
     return {
         .retry = true,
         .reason = reason,
         .delay = delay,
         .newFlow = newFlow,
-        .nameEarlier = !facts.idempotent,
+        .nameEarlierOwners = !facts.idempotent,
     };
 }
 
--- a/src/libdecision/retry.h
+++ b/src/libdecision/retry.h
@@ -46,9 +46,9 @@
     /// The maximum number of tries of one request, including the first.
     std::uint32_t maxTries = 4;
     /// The maximum delay of the first retry on a new flow, in milliseconds.
-    Millis firstRetryWait = 20;
+    Millis maxFirstRetryDelay = 20;
     /// A retry must leave at least this much time before the deadline, in milliseconds.
-    Millis leastTimeLeft = 20;
+    Millis minTimeLeft = 20;
 };
 
 /// A token bucket: first tries add tokens and retries take them.
@@ -57,7 +57,7 @@
 };
 
 /// Adds the tokens of a first try.
-void noteFirstTry(RetryBudget&, const RetryOptions&);
+void recordFirstTry(RetryBudget&, const RetryOptions&);
 
 /// How one try of a request ended without an answer.
 struct AttemptResult {
@@ -86,7 +86,7 @@
     /// Use a new flow, for which the ranking selects another upstream.
     bool newFlow = false;
     /// The new request must name all earlier owners.
-    bool nameEarlier = false;
+    bool nameEarlierOwners = false;
 };
 
 /// Decides whether to retry after a try that ended without an answer. A retry takes a token from the budget.
--- a/src/libdecision/routing.cpp
+++ b/src/libdecision/routing.cpp
@@ -18,7 +18,7 @@
         return { RouteAction::ResetFlow, 0, reason };
     }
 
-    RouteResult relay(std::uint8_t hops, RefusalReason reason)
+    RouteResult relayToAnyAgent(std::uint8_t hops, RefusalReason reason)
     {
         if (hops >= maxHops)
             return { RouteAction::Drop, 0, reason };
@@ -83,18 +83,18 @@
             return reset(RefusalReason::DataCentreOut);
         if (member.linked)
             return toMember(*lookup.exact);
-        return lookup.successor || member.gone ? reset(RefusalReason::OwnerGone) : relay(hops, RefusalReason::UpstreamLost);
+        return lookup.successor || member.gone ? reset(RefusalReason::OwnerGone) : relayToAnyAgent(hops, RefusalReason::UpstreamLost);
     }
     if (!lookup.successor)
-        return relay(hops, RefusalReason::OwnerGone);
+        return relayToAnyAgent(hops, RefusalReason::OwnerGone);
     const bool isOut = members[*lookup.successor].state == MemberState::Out;
     return reset(isOut ? RefusalReason::DataCentreOut : RefusalReason::OwnerGone);
 }
 
 RouteResult routeUnowned(std::span<const Member> serviceMembers, const UnownedPacket& packet, const PlaceOptions& options)
 {
-    const bool isFresh = packet.isOpen && packet.visited.empty();
-    if (isFresh) {
+    const bool isNewFlow = packet.isOpen && packet.visited.empty();
+    if (isNewFlow) {
         const auto placement = placeFlow(packet.flow, serviceMembers, options);
         return placement ? toMember(placement->member) : reset(RefusalReason::NoUpstream);
     }
--- a/src/libdecision/servicetime.h
+++ b/src/libdecision/servicetime.h
@@ -12,7 +12,7 @@
 };
 
 /// Adds one measured service time to the estimate. The first samples form a plain mean; later ones have a weight of
-/// `leastWeight`.
-void noteServiceTime(ServiceTime&, double serviceTime, double leastWeight);
+/// `minWeight`.
+void recordServiceTime(ServiceTime&, double serviceTime, double minWeight);
 
 }
--- a/src/libdecision/workqueue.cpp
+++ b/src/libdecision/workqueue.cpp
@@ -33,37 +33,37 @@
 
 }
 
-std::deque<WorkItem>& lineOf(WorkQueue& queue, WorkClass workClass)
+std::deque<WorkItem>& classQueueOf(WorkQueue& queue, WorkClass workClass)
 {
-    return queue.lines[indexOf(workClass)];
+    return queue.classQueues[indexOf(workClass)];
 }
 
-const std::deque<WorkItem>& lineOf(const WorkQueue& queue, WorkClass workClass)
+const std::deque<WorkItem>& classQueueOf(const WorkQueue& queue, WorkClass workClass)
 {
-    return queue.lines[indexOf(workClass)];
+    return queue.classQueues[indexOf(workClass)];
 }
 
 std::size_t queueLength(const WorkQueue& queue)
 {
-    return queue.lines[0].size() + queue.lines[1].size();
+    return queue.classQueues[0].size() + queue.classQueues[1].size();
 }
 
 void pushWork(WorkQueue& queue, const WorkItem& item)
 {
-    auto& line = lineOf(queue, item.workClass);
-    if (line.empty())
+    auto& classQueue = classQueueOf(queue, item.workClass);
+    if (classQueue.empty())
         boundLag(queue, item.workClass);
-    line.push_back(item);
+    classQueue.push_back(item);
 }
 
 // Served in order of arrival, queries of milliseconds would wait behind uploads of seconds and miss their deadlines; with
 // queries always first, an upload would wait until its deadline. Slot time is shared 3 to 1, queries first, since there are
 // more of them and their deadlines are short. The remaining quarter lets every upload start that was queued within its
 // expected wait.
-std::optional<WorkClass> classInTurn(const WorkQueue& queue, bool shortMayStart, bool longMayStart)
+std::optional<WorkClass> nextClass(const WorkQueue& queue, bool shortMayStart, bool longMayStart)
 {
-    const bool shortWaits = shortMayStart && !lineOf(queue, WorkClass::Short).empty();
-    const bool longWaits = longMayStart && !lineOf(queue, WorkClass::Long).empty();
+    const bool shortWaits = shortMayStart && !classQueueOf(queue, WorkClass::Short).empty();
+    const bool longWaits = longMayStart && !classQueueOf(queue, WorkClass::Long).empty();
     if (shortWaits && longWaits)
         return queue.virtualTime[0] <= queue.virtualTime[1] ? WorkClass::Short : WorkClass::Long;
     if (shortWaits)
@@ -73,31 +73,31 @@
     return std::nullopt;
 }
 
-void chargeStart(WorkQueue& queue, WorkClass workClass, double serviceTime)
+void chargeSlotTime(WorkQueue& queue, WorkClass workClass, double serviceTime)
 {
-    const double charge = workClass == WorkClass::Short ? serviceTime / shortWeight : serviceTime;
+    const double charge = workClass == WorkClass::Short ? serviceTime / shortWorkWeight : serviceTime;
     queue.virtualTime[indexOf(workClass)] += charge;
     queue.largestCharge = std::max(queue.largestCharge, charge);
 }
 
-std::optional<WorkItem> popStartable(WorkQueue& queue, WorkClass workClass, Millis now)
+std::optional<WorkItem> popFirstUnexpired(WorkQueue& queue, WorkClass workClass, Millis now)
 {
-    auto& line = lineOf(queue, workClass);
-    const auto found = std::find_if(line.begin(), line.end(), [&](const WorkItem& item) {
+    auto& classQueue = classQueueOf(queue, workClass);
+    const auto found = std::find_if(classQueue.begin(), classQueue.end(), [&](const WorkItem& item) {
         return !isOverdue(item, now);
     });
-    if (found == line.end())
+    if (found == classQueue.end())
         return std::nullopt;
     const WorkItem item = *found;
-    line.erase(found);
+    classQueue.erase(found);
     return item;
 }
 
-std::vector<WorkItem> takeOverdue(WorkQueue& queue, Millis now)
+std::vector<WorkItem> removeOverdue(WorkQueue& queue, Millis now)
 {
     std::vector<WorkItem> overdue;
-    for (auto& line : queue.lines) {
-        std::erase_if(line, [&](const WorkItem& item) {
+    for (auto& classQueue : queue.classQueues) {
+        std::erase_if(classQueue, [&](const WorkItem& item) {
             if (isOverdue(item, now))
                 overdue.push_back(item);
             return isOverdue(item, now);
@@ -109,17 +109,17 @@
 bool removeWork(WorkQueue& queue, std::uint64_t id)
 {
     std::size_t removed = 0;
-    for (auto& line : queue.lines)
-        removed += std::erase_if(line, [&](const WorkItem& item) { return item.id == id; });
+    for (auto& classQueue : queue.classQueues)
+        removed += std::erase_if(classQueue, [&](const WorkItem& item) { return item.id == id; });
     return removed > 0;
 }
 
-std::vector<WorkItem> takeAll(WorkQueue& queue)
+std::vector<WorkItem> removeAll(WorkQueue& queue)
 {
     std::vector<WorkItem> all;
-    for (auto& line : queue.lines) {
-        all.insert(all.end(), line.begin(), line.end());
-        line.clear();
+    for (auto& classQueue : queue.classQueues) {
+        all.insert(all.end(), classQueue.begin(), classQueue.end());
+        classQueue.clear();
     }
     return all;
 }
--- a/src/libdecision/workqueue.h
+++ b/src/libdecision/workqueue.h
@@ -31,7 +31,7 @@
 
 /// Requests that wait for a slot, in one FIFO queue for each class.
 struct WorkQueue {
-    std::array<std::deque<WorkItem>, 2> lines;
+    std::array<std::deque<WorkItem>, 2> classQueues;
     /// The slot time given to each class, divided by its weight. The class with less is served first.
     std::array<double, 2> virtualTime {};
     /// The largest charge so far, which bounds the difference between the classes when one of them becomes active again.
@@ -39,10 +39,10 @@
 };
 
 /// Short work gets this many times the slot time of long work when both are queued.
-constexpr double shortWeight = 3;
+constexpr double shortWorkWeight = 3;
 
-std::deque<WorkItem>& lineOf(WorkQueue&, WorkClass);
-const std::deque<WorkItem>& lineOf(const WorkQueue&, WorkClass);
+std::deque<WorkItem>& classQueueOf(WorkQueue&, WorkClass);
+const std::deque<WorkItem>& classQueueOf(const WorkQueue&, WorkClass);
 
 /// The number of queued requests of both classes.
 std::size_t queueLength(const WorkQueue&);
@@ -51,22 +51,22 @@
 void pushWork(WorkQueue&, const WorkItem&);
 
 /// The class to serve next, among those that have queued requests and may start; nothing if there is none.
-std::optional<WorkClass> classInTurn(const WorkQueue&, bool shortMayStart, bool longMayStart);
+std::optional<WorkClass> nextClass(const WorkQueue&, bool shortMayStart, bool longMayStart);
 
 /// Charges the slot time of a request that starts to its class. To be called also for a request that starts without
 /// queueing.
-void chargeStart(WorkQueue&, WorkClass, double serviceTime);
+void chargeSlotTime(WorkQueue&, WorkClass, double serviceTime);
 
 /// Removes and returns the first request of the class whose deadline is after `now`; nothing if there is none.
-std::optional<WorkItem> popStartable(WorkQueue&, WorkClass, Millis now);
+std::optional<WorkItem> popFirstUnexpired(WorkQueue&, WorkClass, Millis now);
 
 /// Removes and returns all requests whose deadline has passed.
-std::vector<WorkItem> takeOverdue(WorkQueue&, Millis now);
+std::vector<WorkItem> removeOverdue(WorkQueue&, Millis now);
 
 /// Removes the request with this id. Returns false if it is not queued here.
 bool removeWork(WorkQueue&, std::uint64_t id);
 
 /// Removes and returns all requests, short work first.
-std::vector<WorkItem> takeAll(WorkQueue&);
+std::vector<WorkItem> removeAll(WorkQueue&);
 
 }
--- a/src/libplatform/presencewatcher.cpp
+++ b/src/libplatform/presencewatcher.cpp
@@ -233,10 +233,10 @@
 // placed. The time before a failed check, and from it to the next response, is therefore not counted: agents could not renew.
 void PresenceWatcher::Private::countLeaseTime(bool answered)
 {
-    const LeaseOptions options { .longestStep = 2 * leaseCheckInterval() };
+    const LeaseOptions options { .maxStep = 2 * leaseCheckInterval() };
     const Millis now = monotonicNow();
     for (auto& [name, lease] : leases)
-        watchTime(lease, options, answered && lastLookAnswered, now);
+        addObservedTime(lease, options, answered && lastLookAnswered, now);
     lastLookAnswered = answered;
 }
 
@@ -254,9 +254,9 @@
         const ObjectVersion version = held == versions.end() ? 0 : held->second;
         const auto known = leases.find(name);
         if (known == leases.end())
-            leases.emplace(name, watchLease(presence.lease, version, now));
+            leases.emplace(name, observeLease(presence.lease, version, now));
         else
-            noteRenewal(known->second, version, now);
+            recordRenewal(known->second, version, now);
     }
     report();
 }
--- a/tests/decision/loadharness.cpp
+++ b/tests/decision/loadharness.cpp
@@ -35,21 +35,21 @@
         std::optional<Millis> coldSince;
         Millis downUntil = 0;
         std::uint32_t running = 0;
-        std::uint64_t life = 0;
+        std::uint64_t generation = 0;
         std::vector<std::uint64_t> active;
-        Millis wakeAt = -1;
-        UpstreamSeen seen;
+        Millis scheduledWake = -1;
+        UpstreamStats stats;
 
-        double bearable(Millis now) const
+        double servableRequests(Millis now) const
         {
             if (now < downUntil)
                 return 1;
-            if (now >= model.laterAt)
-                return model.laterBears;
+            if (now >= model.changesAt)
+                return model.laterMaxConcurrency;
             if (!coldSince)
-                return model.bears;
+                return model.maxConcurrency;
             const double passed = std::clamp(static_cast<double>(now - *coldSince) / model.warmTime, 0.0, 1.0);
-            return 1 + (model.bears - 1) * passed;
+            return 1 + (model.maxConcurrency - 1) * passed;
         }
     };
 
@@ -82,8 +82,8 @@
                 event.run();
             }
             for (Upstream& upstream : m_upstreams)
-                m_result.upstreams.push_back(upstream.seen);
-            countReturns();
+                m_result.upstreams.push_back(upstream.stats);
+            countSimultaneousRetries();
             return m_result;
         }
 
@@ -113,7 +113,7 @@
             for (Millis time = 0; time < m_end; time += hintInterval)
                 at(time, [=, this] {
                     Upstream& upstream = m_upstreams[index];
-                    noteHint(upstream.seen.state, m_run.options, upstream.model.hint(m_now, upstream.running), m_now);
+                    applyHint(upstream.stats.state, m_run.options, upstream.model.hint(m_now, upstream.running), m_now);
                 });
         }
 
@@ -127,7 +127,7 @@
                 .size = size(m_random) };
             ++outcomesOf(m_requests[id]).offered;
             ++m_result.firstTries;
-            noteFirstTry(m_budget, m_run.retry);
+            recordFirstTry(m_budget, m_run.retry);
             offer(id);
         }
 
@@ -140,30 +140,30 @@
         {
             Request& request = m_requests[id];
             request.item.queuedAt = m_now;
-            UpstreamSeen& seen = m_upstreams[request.upstream].seen;
-            const AdmitVerdict verdict = admit(seen.state, m_run.options, request.item, m_now);
+            UpstreamStats& stats = m_upstreams[request.upstream].stats;
+            const AdmitVerdict verdict = admit(stats.state, m_run.options, request.item, m_now);
             if (verdict.decision == AdmitDecision::Run)
                 begin(id);
             else if (verdict.decision == AdmitDecision::Refuse)
                 refuse(id, verdict.refusal);
-            serve(request.upstream);
+            processQueue(request.upstream);
         }
 
-        void serve(std::size_t index)
+        void processQueue(std::size_t index)
         {
-            UpstreamSeen& seen = m_upstreams[index].seen;
-            for (const ExpiredItem& expired : takeExpired(seen.state, m_run.options, m_now))
+            UpstreamStats& stats = m_upstreams[index].stats;
+            for (const RefusedItem& expired : removeExpired(stats.state, m_run.options, m_now))
                 refuse(expired.item.id, expired.refusal);
-            for (const WorkItem& item : takeRunnable(seen.state, m_run.options, m_now))
+            for (const WorkItem& item : dequeueRunnable(stats.state, m_run.options, m_now))
                 begin(item.id);
-            const auto wake = nextWake(seen.state, m_now);
-            Millis& wakeAt = m_upstreams[index].wakeAt;
-            if (!wake || (wakeAt > m_now && wakeAt <= *wake))
+            const auto wake = nextWakeTime(stats.state, m_now);
+            Millis& scheduledWake = m_upstreams[index].scheduledWake;
+            if (!wake || (scheduledWake > m_now && scheduledWake <= *wake))
                 return;
-            wakeAt = *wake;
+            scheduledWake = *wake;
             at(*wake, [=, this, due = *wake] {
-                if (m_upstreams[index].wakeAt == due)
-                    serve(index);
+                if (m_upstreams[index].scheduledWake == due)
+                    processQueue(index);
             });
         }
 
@@ -172,21 +172,21 @@
             Request& request = m_requests[id];
             Outcomes& outcomes = outcomesOf(request);
             if (refusal.ran == Ran::No && request.startedAt >= 0)
-                ++outcomes.untrueRefusals;
+                ++outcomes.falseNotRunRefusals;
             if (request.arrivedAt >= m_run.countFrom)
-                m_returns.push_back(m_now + refusal.retryAfter);
+                m_retryTimes.push_back(m_now + refusal.retryAfter);
             const RetryFacts facts { .idempotent = false, .tries = request.tries, .deadline = request.item.deadline, .now = m_now };
-            const AttemptResult tried { .ran = refusal.ran, .reason = refusal.reason, .retryAfter = refusal.retryAfter };
+            const AttemptResult failedTry { .ran = refusal.ran, .reason = refusal.reason, .retryAfter = refusal.retryAfter };
             if (m_run.callersRetry) {
-                const RetryVerdict verdict = decideRetry(m_budget, m_run.retry, facts, tried);
+                const RetryVerdict verdict = decideRetry(m_budget, m_run.retry, facts, failedTry);
                 if (verdict.retry)
-                    return comeBack(id, verdict);
+                    return scheduleRetry(id, verdict);
             }
             ++outcomes.refused;
             outcomes.refusedAfter.push_back(m_now - request.item.queuedAt);
         }
 
-        void comeBack(std::uint64_t id, const RetryVerdict& verdict)
+        void scheduleRetry(std::uint64_t id, const RetryVerdict& verdict)
         {
             Request& request = m_requests[id];
             ++request.tries;
@@ -204,33 +204,33 @@
             if (m_now < upstream.downUntil)
                 return endLater(id, WorkOutcome::Failed, refusedConnectionTime);
             ++upstream.running;
-            const double bearable = upstream.bearable(m_now);
-            const bool above = upstream.running > std::floor(bearable + 1e-9);
+            const double servableRequests = upstream.servableRequests(m_now);
+            const bool overloaded = upstream.running > std::floor(servableRequests + 1e-9);
             upstream.active.push_back(id);
-            if (above)
-                upstream.seen.aboveAt.push_back(m_now);
-            if (above && upstream.model.overload == Overload::FallsOver)
-                return fallOver(request.upstream);
-            if (above && upstream.model.overload == Overload::Sheds)
+            if (overloaded)
+                upstream.stats.overloadedAt.push_back(m_now);
+            if (overloaded && upstream.model.overload == Overload::Crashes)
+                return crash(request.upstream);
+            if (overloaded && upstream.model.overload == Overload::Sheds)
                 return endLater(id, WorkOutcome::Shed, 2);
-            endLater(id, WorkOutcome::Succeeded, serviceTime(request, upstream, bearable));
+            endLater(id, WorkOutcome::Succeeded, serviceTime(request, upstream, servableRequests));
         }
 
-        Millis serviceTime(const Request& request, const Upstream& upstream, double bearable) const
+        Millis serviceTime(const Request& request, const Upstream& upstream, double servableRequests) const
         {
             const bool isShort = request.item.workClass == WorkClass::Short;
-            const double excess = std::max(1.0, upstream.running / bearable);
-            const double coldness = upstream.model.bears / bearable;
+            const double excess = std::max(1.0, upstream.running / servableRequests);
+            const double coldness = upstream.model.maxConcurrency / servableRequests;
             const double base = static_cast<double>(isShort ? upstream.model.shortTime : upstream.model.longTime) * request.size;
             const bool slows = upstream.model.overload == Overload::Slows;
             return std::max<Millis>(1, static_cast<Millis>(slows ? base * excess * excess * std::sqrt(coldness) : base));
         }
 
-        void fallOver(std::size_t index)
+        void crash(std::size_t index)
         {
             Upstream& upstream = m_upstreams[index];
-            ++upstream.life;
-            ++upstream.seen.fellOver;
+            ++upstream.generation;
+            ++upstream.stats.crashCount;
             upstream.downUntil = m_now + downTime;
             upstream.coldSince = upstream.downUntil;
             const auto lost = std::exchange(upstream.active, {});
@@ -242,11 +242,11 @@
         void endLater(std::uint64_t id, WorkOutcome outcome, Millis after)
         {
             const std::size_t index = m_requests[id].upstream;
-            const std::uint64_t life = m_upstreams[index].life;
+            const std::uint64_t generation = m_upstreams[index].generation;
             const bool counted = outcome != WorkOutcome::Failed;
             at(m_now + after, [=, this] {
                 Upstream& upstream = m_upstreams[index];
-                if (counted && upstream.life != life)
+                if (counted && upstream.generation != generation)
                     return;
                 if (counted) {
                     --upstream.running;
@@ -260,9 +260,9 @@
         {
             Request& request = m_requests[id];
             const std::size_t index = request.upstream;
-            UpstreamSeen& seen = m_upstreams[index].seen;
+            UpstreamStats& stats = m_upstreams[index].stats;
             const Millis took = m_now - request.startedAt;
-            finishWork(seen.state, m_run.options, request.item.workClass, outcome, took, m_now);
+            finishWork(stats.state, m_run.options, request.item.workClass, outcome, took, m_now);
             Outcomes& outcomes = outcomesOf(request);
             if (outcome == WorkOutcome::Shed) {
                 request.startedAt = -1;
@@ -272,24 +272,24 @@
             } else if (m_now <= request.item.deadline) {
                 ++outcomes.servedInTime;
                 if (request.arrivedAt >= m_run.countFrom) {
-                    ++seen.servedInTime;
-                    seen.usefulSlotTime += static_cast<double>(took);
+                    ++stats.servedInTime;
+                    stats.usefulSlotTime += static_cast<double>(took);
                 }
                 outcomes.servedAfter.push_back(m_now - request.arrivedAt);
             } else {
                 ++outcomes.servedLate;
             }
-            serve(index);
+            processQueue(index);
         }
 
-        void countReturns()
+        void countSimultaneousRetries()
         {
-            std::sort(m_returns.begin(), m_returns.end());
+            std::sort(m_retryTimes.begin(), m_retryTimes.end());
             std::size_t first = 0;
-            for (std::size_t last = 0; last < m_returns.size(); ++last) {
-                while (m_returns[last] - m_returns[first] >= 20)
+            for (std::size_t last = 0; last < m_retryTimes.size(); ++last) {
+                while (m_retryTimes[last] - m_retryTimes[first] >= 20)
                     ++first;
-                m_result.largestReturn = std::max(m_result.largestReturn, static_cast<std::uint32_t>(last - first + 1));
+                m_result.maxSimultaneousRetries = std::max(m_result.maxSimultaneousRetries, static_cast<std::uint32_t>(last - first + 1));
             }
         }
 
@@ -298,7 +298,7 @@
         std::vector<Upstream> m_upstreams;
         std::map<std::uint64_t, Request> m_requests;
         std::priority_queue<Event, std::vector<Event>, std::greater<>> m_events;
-        std::vector<Millis> m_returns;
+        std::vector<Millis> m_retryTimes;
         RetryBudget m_budget;
         LoadResult m_result;
         Outcomes m_uncounted;
--- a/tests/decision/loadharness.h
+++ b/tests/decision/loadharness.h
@@ -18,19 +18,19 @@
     /// Sheds the excess.
     Sheds,
     /// Fails all running requests, refuses connections for half a second and starts cold.
-    FallsOver,
+    Crashes,
 };
 
 /// A simulated upstream. While cold it can serve one request, then more in a straight line over `warmTime`.
 struct UpstreamModel {
-    std::uint32_t bears = 5;
+    std::uint32_t maxConcurrency = 5;
     Millis shortTime = 20;
     Millis longTime = 1000;
     Overload overload = Overload::Slows;
     Millis warmTime = 10000;
-    /// From this time on it can serve only `laterBears` requests.
-    Millis laterAt = std::numeric_limits<Millis>::max();
-    std::uint32_t laterBears = 0;
+    /// From this time on it can serve only `laterMaxConcurrency` requests.
+    Millis changesAt = std::numeric_limits<Millis>::max();
+    std::uint32_t laterMaxConcurrency = 0;
     /// Times at which it turns cold; before the first it is warm.
     std::vector<Millis> coldAt;
     /// Its endpoints' report every half second, given the time and the number of running requests; no reports if unset.
@@ -72,7 +72,7 @@
     std::uint32_t servedLate = 0;
     std::uint32_t refused = 0;
     std::uint32_t failed = 0;
-    std::uint32_t untrueRefusals = 0;
+    std::uint32_t falseNotRunRefusals = 0;
     /// From arrival, in milliseconds.
     std::vector<Millis> refusedAfter;
     std::vector<Millis> servedAfter;
@@ -81,10 +81,10 @@
 };
 
 /// The measurements at one upstream.
-struct UpstreamSeen {
+struct UpstreamStats {
     /// The times of starts that exceeded what it could serve.
-    std::vector<Millis> aboveAt;
-    std::uint32_t fellOver = 0;
+    std::vector<Millis> overloadedAt;
+    std::uint32_t crashCount = 0;
     /// Slot time of the counted requests that were answered in time, in milliseconds.
     double usefulSlotTime = 0;
     std::uint32_t servedInTime = 0;
@@ -93,12 +93,12 @@
 
 struct LoadResult {
     std::map<WorkClass, Outcomes> outcomes;
-    std::vector<UpstreamSeen> upstreams;
+    std::vector<UpstreamStats> upstreams;
     /// For the whole run, counted or not.
     std::uint32_t firstTries = 0;
     std::uint32_t retries = 0;
     /// The maximum number of refused callers that were told to retry within the same 20 ms.
-    std::uint32_t largestReturn = 0;
+    std::uint32_t maxSimultaneousRetries = 0;
 };
 
 /// Simulates admission in front of upstreams on a virtual clock. The same seed gives the same run.
--- a/tests/decision/testadmission.cpp
+++ b/tests/decision/testadmission.cpp
@@ -9,7 +9,7 @@
 
 constexpr Millis warmAt = 14000;
 constexpr double capacity = 250;
-constexpr std::array overloads { Overload::Slows, Overload::Sheds, Overload::FallsOver };
+constexpr std::array overloads { Overload::Slows, Overload::Sheds, Overload::Crashes };
 
 /// A run that first warms its upstreams at 70 % load; only later requests are counted.
 LoadRun warmRun(std::vector<UpstreamModel> upstreams = { {} })
@@ -28,21 +28,21 @@
     return run;
 }
 
-void assertColdStartHarmsWithoutGuard(LoadRun run)
+void assertColdStartOverloadsWithoutGuard(LoadRun run)
 {
     run.options.coldStartGuard = false;
-    const UpstreamSeen harmed = runLoad(run).upstreams[0];
-    CPPUNIT_ASSERT(run.upstreams[0].overload == Overload::FallsOver ? harmed.fellOver > 10 : harmed.aboveAt.size() > 500);
+    const UpstreamStats unguarded = runLoad(run).upstreams[0];
+    CPPUNIT_ASSERT(run.upstreams[0].overload == Overload::Crashes ? unguarded.crashCount > 10 : unguarded.overloadedAt.size() > 500);
 }
 
-double useOfSlots(const UpstreamSeen& seen, const LoadRun& run, Millis span)
+double slotUtilisation(const UpstreamStats& stats, const LoadRun& run, Millis span)
 {
-    return seen.usefulSlotTime / static_cast<double>(span * run.options.slots);
+    return stats.usefulSlotTime / static_cast<double>(span * run.options.slots);
 }
 
-void assertRefusedTruly(const Outcomes& outcomes)
+void assertRefusalsCorrect(const Outcomes& outcomes)
 {
-    CPPUNIT_ASSERT_EQUAL(0U, outcomes.untrueRefusals);
+    CPPUNIT_ASSERT_EQUAL(0U, outcomes.falseNotRunRefusals);
     CPPUNIT_ASSERT_EQUAL(outcomes.offered, outcomes.servedInTime + outcomes.servedLate + outcomes.refused + outcomes.failed);
 }
 
@@ -55,25 +55,25 @@
 
 class TestAdmission : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(TestAdmission);
-    CPPUNIT_TEST(saturationKeepsGoodputAndRefusesAtOnce);
-    CPPUNIT_TEST(burstIsServedOverItsReturns);
-    CPPUNIT_TEST(uploadsAndQueriesLeaveRoomForEachOther);
-    CPPUNIT_TEST(slowUpstreamAndSkewedDemandStayLocal);
-    CPPUNIT_TEST(coldUpstreamGetsNoMoreThanItBears);
-    CPPUNIT_TEST(upstreamThatTurnsColdIsFoundAtOnce);
-    CPPUNIT_TEST(upstreamThatTurnedColdWhileIdleIsProvedFirst);
-    CPPUNIT_TEST(trialDoesNotOutliveAnIdleTime);
-    CPPUNIT_TEST(lyingEndpointNeitherOpensNorClosesTheGate);
-    CPPUNIT_TEST(upstreamThatBearsLessThanItsSlotsFindsItsPeak);
-    CPPUNIT_TEST(hintsOfOtherWorkAreHeededWhileCold);
-    CPPUNIT_TEST(queuedWorkIsTakenBackTruly);
-    CPPUNIT_TEST(deadUpstreamIsNotHammered);
+    CPPUNIT_TEST(saturationKeepsGoodputAndRefusesEarly);
+    CPPUNIT_TEST(burstIsServedThroughRetries);
+    CPPUNIT_TEST(longAndShortWorkShareSlots);
+    CPPUNIT_TEST(overloadedUpstreamDoesNotAffectOthers);
+    CPPUNIT_TEST(coldUpstreamIsNotOverloaded);
+    CPPUNIT_TEST(suddenColdUpstreamIsDetected);
+    CPPUNIT_TEST(restartWhileIdleLowersTheLimit);
+    CPPUNIT_TEST(idleTimeEndsPeakTrial);
+    CPPUNIT_TEST(wrongHintsHaveLimitedEffect);
+    CPPUNIT_TEST(limitSettlesAtPeakThroughput);
+    CPPUNIT_TEST(hintsReduceSlotsDuringWarmUp);
+    CPPUNIT_TEST(queuedWorkIsRefusedAsNotRun);
+    CPPUNIT_TEST(startsPauseAfterFailures);
     CPPUNIT_TEST_SUITE_END();
 
     // Guards against answers that arrive after their caller gave up. The load is three times the capacity, and an unbounded
     // queue would delay every answer past its deadline. With the guard each caller is refused within 50 ms or answered in
     // time.
-    void saturationKeepsGoodputAndRefusesAtOnce()
+    void saturationKeepsGoodputAndRefusesEarly()
     {
         for (const std::uint32_t seed : { 1U, 2U, 3U }) {
             LoadRun run = warmRun();
@@ -81,8 +81,8 @@
             run.arrivals.push_back({ .shortPerSecond = 3 * capacity, .from = warmAt, .until = warmAt + 20000 });
             const LoadResult guarded = runLoad(run);
             const Outcomes& outcomes = guarded.outcomes.at(WorkClass::Short);
-            assertRefusedTruly(outcomes);
-            CPPUNIT_ASSERT(useOfSlots(guarded.upstreams[0], run, 20000) >= 0.9);
+            assertRefusalsCorrect(outcomes);
+            CPPUNIT_ASSERT(slotUtilisation(guarded.upstreams[0], run, 20000) >= 0.9);
             CPPUNIT_ASSERT(outcomes.servedInTime >= 0.9 * capacity * 20);
             CPPUNIT_ASSERT(outcomes.share(outcomes.servedLate) < 0.005);
             CPPUNIT_ASSERT(percentile(outcomes.refusedAfter, 0.99) <= 50);
@@ -95,7 +95,7 @@
 
     // Guards against callers of a burst that all retry at once. A hundred queries arrive in the same millisecond; those that
     // exceed the queue get retry delays spread by their id, and all are answered within two seconds.
-    void burstIsServedOverItsReturns()
+    void burstIsServedThroughRetries()
     {
         LoadRun run = warmRun();
         run.burst = 100;
@@ -105,20 +105,20 @@
         run.retry = { .ratio = 1, .burst = 1000, .maxTries = 20 };
         const LoadResult result = runLoad(run);
         CPPUNIT_ASSERT_EQUAL(100U, result.outcomes.at(WorkClass::Short).servedInTime);
-        CPPUNIT_ASSERT(result.largestReturn < 50);
+        CPPUNIT_ASSERT(result.maxSimultaneousRetries < 50);
     }
 
     // Guards against one class of work starving the other. Uploads arrive faster than the slots can serve: without reserved
     // slots they would hold every slot and queries would miss their deadlines; with queries always first, uploads would
     // never start.
-    void uploadsAndQueriesLeaveRoomForEachOther()
+    void longAndShortWorkShareSlots()
     {
         LoadRun run = warmRun();
         run.arrivals.push_back({ .shortPerSecond = 60, .longPerSecond = 8, .from = warmAt, .until = warmAt + 50000 });
         const LoadResult guarded = runLoad(run);
         const Outcomes& queries = guarded.outcomes.at(WorkClass::Short);
         const Outcomes& uploads = guarded.outcomes.at(WorkClass::Long);
-        assertRefusedTruly(uploads);
+        assertRefusalsCorrect(uploads);
         CPPUNIT_ASSERT(queries.share(queries.servedInTime) >= 0.99);
         CPPUNIT_ASSERT(uploads.servedInTime >= 150);
         CPPUNIT_ASSERT_EQUAL(0U, uploads.servedLate);
@@ -138,7 +138,7 @@
     // Guards against one overloaded upstream that affects the others. One of three upstreams answers four times slower or
     // gets most of the load. It refuses what it can't serve and works at capacity, and retries stay within a tenth of the
     // first tries.
-    void slowUpstreamAndSkewedDemandStayLocal()
+    void overloadedUpstreamDoesNotAffectOthers()
     {
         LoadRun slow = warmRun({ {}, { .shortTime = 80 }, {} });
         slow.arrivals[0].shortPerSecond = 420;
@@ -149,58 +149,58 @@
             run->callersRetry = true;
             const LoadResult result = runLoad(*run);
             const Outcomes& outcomes = result.outcomes.at(WorkClass::Short);
-            const std::size_t hot = run == &slow ? 1 : 0;
-            CPPUNIT_ASSERT(useOfSlots(result.upstreams[hot], *run, 40000 - warmAt) >= 0.9);
+            const std::size_t overloaded = run == &slow ? 1 : 0;
+            CPPUNIT_ASSERT(slotUtilisation(result.upstreams[overloaded], *run, 40000 - warmAt) >= 0.9);
             CPPUNIT_ASSERT(outcomes.share(outcomes.servedInTime) >= 0.86);
             CPPUNIT_ASSERT(outcomes.share(outcomes.servedLate) < 0.01);
             CPPUNIT_ASSERT(percentile(outcomes.refusedAfter, 0.99) <= 50);
             CPPUNIT_ASSERT(result.retries <= 0.1 * result.firstTries + run->retry.burst);
-            assertRefusedTruly(outcomes);
+            assertRefusalsCorrect(outcomes);
         }
     }
 
     // Guards against upstreams that collapse after a data centre's return. They start cold under 80 % load and would
     // collapse repeatedly if they got all slots at once; with the warm-up none gets more requests than it can serve.
-    void coldUpstreamGetsNoMoreThanItBears()
+    void coldUpstreamIsNotOverloaded()
     {
         for (const Overload overload : overloads) {
             const LoadRun run = steadyRun({ .overload = overload, .coldAt = { 0 } }, 0.8, 25000);
             const LoadResult guarded = runLoad(run);
             const Outcomes& outcomes = guarded.outcomes.at(WorkClass::Short);
-            CPPUNIT_ASSERT_EQUAL(std::size_t(0), guarded.upstreams[0].aboveAt.size());
+            CPPUNIT_ASSERT_EQUAL(std::size_t(0), guarded.upstreams[0].overloadedAt.size());
             CPPUNIT_ASSERT(!isCold(guarded.upstreams[0].state));
             CPPUNIT_ASSERT(outcomes.share(outcomes.servedInTime) >= 0.75);
-            assertRefusedTruly(outcomes);
-            assertColdStartHarmsWithoutGuard(run);
+            assertRefusalsCorrect(outcomes);
+            assertColdStartOverloadsWithoutGuard(run);
 
             // The upstream takes four times as long to warm up as configured.
             const LoadRun slower = steadyRun({ .overload = overload, .warmTime = 40000, .coldAt = { 0 } }, 0.7, 100000, 60000);
             const LoadResult late = runLoad(slower);
-            CPPUNIT_ASSERT(overload == Overload::Slows || late.upstreams[0].aboveAt.size() <= 2);
+            CPPUNIT_ASSERT(overload == Overload::Slows || late.upstreams[0].overloadedAt.size() <= 2);
             CPPUNIT_ASSERT(late.outcomes.at(WorkClass::Short).servedInTime >= 0.9 * 0.7 * capacity * 40);
         }
     }
 
     // Guards against the load of a warm upstream for one that turns cold under 70 % load. Its first slow answers, sheds or
     // lost connections reveal it: later than 100 ms after that, no request starts beyond what it can serve.
-    void upstreamThatTurnsColdIsFoundAtOnce()
+    void suddenColdUpstreamIsDetected()
     {
         constexpr Millis turn = 20000;
         for (const Overload overload : overloads) {
             const LoadRun run = steadyRun({ .overload = overload, .coldAt = { turn } }, 0.7, 45000, turn);
             const LoadResult guarded = runLoad(run);
             const Outcomes& outcomes = guarded.outcomes.at(WorkClass::Short);
-            const UpstreamSeen& seen = guarded.upstreams[0];
-            CPPUNIT_ASSERT(seen.aboveAt.size() <= run.options.slots);
-            CPPUNIT_ASSERT(std::all_of(seen.aboveAt.begin(), seen.aboveAt.end(), [](Millis at) { return at <= turn + 100; }));
-            CPPUNIT_ASSERT(!isCold(seen.state));
+            const UpstreamStats& stats = guarded.upstreams[0];
+            CPPUNIT_ASSERT(stats.overloadedAt.size() <= run.options.slots);
+            CPPUNIT_ASSERT(std::all_of(stats.overloadedAt.begin(), stats.overloadedAt.end(), [](Millis at) { return at <= turn + 100; }));
+            CPPUNIT_ASSERT(!isCold(stats.state));
             CPPUNIT_ASSERT(outcomes.share(outcomes.servedInTime) >= 0.75);
-            assertColdStartHarmsWithoutGuard(run);
+            assertColdStartOverloadsWithoutGuard(run);
         }
     }
 
     // Guards against a burst at full concurrency for an upstream that was restarted during 45 s without requests.
-    void upstreamThatTurnedColdWhileIdleIsProvedFirst()
+    void restartWhileIdleLowersTheLimit()
     {
         for (const Overload overload : overloads) {
             LoadRun run = warmRun({ { .overload = overload, .coldAt = { 59900 } } });
@@ -209,22 +209,22 @@
             run.arrivals.push_back({ .shortPerSecond = 0.8 * capacity, .from = 60000, .until = 80000 });
             const LoadResult guarded = runLoad(run);
             const Outcomes& outcomes = guarded.outcomes.at(WorkClass::Short);
-            CPPUNIT_ASSERT(guarded.upstreams[0].aboveAt.size() <= 1);
+            CPPUNIT_ASSERT(guarded.upstreams[0].overloadedAt.size() <= 1);
             CPPUNIT_ASSERT(outcomes.share(outcomes.servedInTime) >= 0.7);
-            assertColdStartHarmsWithoutGuard(run);
+            assertColdStartOverloadsWithoutGuard(run);
         }
     }
 
     // Guards against a limit that stays at one. A trial of a lower level was running before the idle time, and only uploads
     // arrive after it.
-    void trialDoesNotOutliveAnIdleTime()
+    void idleTimeEndsPeakTrial()
     {
         const AdmissionOptions options { .slots = 5, .warmUp = 1000 };
         AdmissionState state;
         state.limit = { .limit = 4, .cold = false, .coldSince = 0, .lastCompletion = 0, .peak = { .level = 4, .onTrial = true } };
         for (Millis now = 40000; now < 80000; now += 500) {
             const bool runs = admit(state, options, makeItem(1, now, 60000, WorkClass::Long), now).decision == AdmitDecision::Run;
-            takeRunnable(state, options, now);
+            dequeueRunnable(state, options, now);
             if (!runs)
                 finishWork(state, options, WorkClass::Long, WorkOutcome::Succeeded, 900, now);
         }
@@ -233,30 +233,30 @@
 
     // Guards against health reports that are wrong. "Healthy and idle" for a cold upstream must not admit more requests;
     // "unhealthy and full" all the time for a working one may cost one further warm-up and no request after it.
-    void lyingEndpointNeitherOpensNorClosesTheGate()
+    void wrongHintsHaveLimitedEffect()
     {
         const auto run = [](UpstreamHint hint, std::vector<Millis> coldAt, Millis countFrom) {
-            const auto say = [hint](Millis, std::uint32_t) { return hint; };
-            return runLoad(steadyRun({ .coldAt = std::move(coldAt), .hint = say }, 0.7, 45000, countFrom));
+            const auto report = [hint](Millis, std::uint32_t) { return hint; };
+            return runLoad(steadyRun({ .coldAt = std::move(coldAt), .hint = report }, 0.7, 45000, countFrom));
         };
-        const LoadResult rosy = run({ .healthy = true, .busy = 0, .age = 0 }, { 0 }, 0);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(0), rosy.upstreams[0].aboveAt.size());
-        const LoadResult gloomy = run({ .healthy = false, .busy = 9, .age = 0 }, {}, 22000);
-        const Outcomes& outcomes = gloomy.outcomes.at(WorkClass::Short);
+        const LoadResult optimistic = run({ .healthy = true, .busy = 0, .age = 0 }, { 0 }, 0);
+        CPPUNIT_ASSERT_EQUAL(std::size_t(0), optimistic.upstreams[0].overloadedAt.size());
+        const LoadResult pessimistic = run({ .healthy = false, .busy = 9, .age = 0 }, {}, 22000);
+        const Outcomes& outcomes = pessimistic.outcomes.at(WorkClass::Short);
         CPPUNIT_ASSERT(outcomes.share(outcomes.servedInTime) >= 0.99);
-        CPPUNIT_ASSERT_EQUAL(5U, currentLimit(gloomy.upstreams[0].state));
+        CPPUNIT_ASSERT_EQUAL(5U, currentLimit(pessimistic.upstreams[0].state));
     }
 
     // Guards against a limit that is raised and cut again and again. An upstream can serve three or four of its five slots;
     // its sheds or its lower throughput must settle the limit there. The limit stays at five if the upstream is equally slow
     // at every level.
-    void upstreamThatBearsLessThanItsSlotsFindsItsPeak()
+    void limitSettlesAtPeakThroughput()
     {
-        const LoadResult shed = runLoad(steadyRun({ .bears = 4, .overload = Overload::Sheds }, 0.7, 145000, 45000));
-        CPPUNIT_ASSERT(shed.upstreams[0].aboveAt.size() <= 4);
+        const LoadResult shed = runLoad(steadyRun({ .maxConcurrency = 4, .overload = Overload::Sheds }, 0.7, 145000, 45000));
+        CPPUNIT_ASSERT(shed.upstreams[0].overloadedAt.size() <= 4);
         CPPUNIT_ASSERT(shed.outcomes.at(WorkClass::Short).servedInTime >= 0.94 * 0.7 * capacity * 100);
 
-        LoadRun slows = steadyRun({ .bears = 3 }, 2, 60000, 20000);
+        LoadRun slows = steadyRun({ .maxConcurrency = 3 }, 2, 60000, 20000);
         const LoadResult peak = runLoad(slows);
         CPPUNIT_ASSERT_EQUAL(3U, currentLimit(peak.upstreams[0].state));
         CPPUNIT_ASSERT(peak.upstreams[0].servedInTime >= 0.9 * 150 * 40);
@@ -264,51 +264,51 @@
         CPPUNIT_ASSERT(runLoad(slows).upstreams[0].servedInTime < 0.7 * 150 * 40);
 
         // From 20 s on the host is shared; the limit is five by then.
-        const LoadResult moved = runLoad(steadyRun({ .laterAt = 20000, .laterBears = 3 }, 2, 60000, 30000));
-        CPPUNIT_ASSERT_EQUAL(3U, currentLimit(moved.upstreams[0].state));
-        CPPUNIT_ASSERT(moved.upstreams[0].servedInTime >= 0.9 * 116 * 30);
+        const LoadResult sharedHost = runLoad(steadyRun({ .changesAt = 20000, .laterMaxConcurrency = 3 }, 2, 60000, 30000));
+        CPPUNIT_ASSERT_EQUAL(3U, currentLimit(sharedHost.upstreams[0].state));
+        CPPUNIT_ASSERT(sharedHost.upstreams[0].servedInTime >= 0.9 * 116 * 30);
 
         // A peak found by chance among 50 slots, or during a warm-up, is not held for long.
-        LoadRun wide = steadyRun({ .bears = 50 }, 20, 50000, 20000);
+        LoadRun wide = steadyRun({ .maxConcurrency = 50 }, 20, 50000, 20000);
         wide.options = { .slots = 50, .queueLimit = 64 };
         CPPUNIT_ASSERT(runLoad(wide).upstreams[0].servedInTime >= 0.9 * 10 * capacity * 30);
-        const Outcomes warming = runLoad(steadyRun({ .warmTime = 20000, .coldAt = { 0 } }, 0.8, 140000, 40000)).outcomes.at(WorkClass::Short);
-        CPPUNIT_ASSERT(warming.share(warming.servedInTime) >= 0.99);
+        const Outcomes slowWarmUp = runLoad(steadyRun({ .warmTime = 20000, .coldAt = { 0 } }, 0.8, 140000, 40000)).outcomes.at(WorkClass::Short);
+        CPPUNIT_ASSERT(slowWarmUp.share(slowWarmUp.servedInTime) >= 0.99);
 
-        const LoadResult even = runLoad(steadyRun({ .shortTime = 80 }, 1, 60000));
-        CPPUNIT_ASSERT_EQUAL(5U, currentLimit(even.upstreams[0].state));
+        const LoadResult evenlySlow = runLoad(steadyRun({ .shortTime = 80 }, 1, 60000));
+        CPPUNIT_ASSERT_EQUAL(5U, currentLimit(evenlySlow.upstreams[0].state));
     }
 
     // Guards against overload by requests that the agent does not know: it was restarted, and older requests still run at
     // the upstream.
-    void hintsOfOtherWorkAreHeededWhileCold()
+    void hintsReduceSlotsDuringWarmUp()
     {
         const AdmissionOptions options { .slots = 4, .warmUp = 100 };
         AdmissionState state;
         Millis now = 0;
         for (; currentLimit(state) < 3; now += 10) {
             while (admit(state, options, makeItem(1, now), now).decision == AdmitDecision::Run) { }
-            takeExpired(state, options, now + 1000);
+            removeExpired(state, options, now + 1000);
             while (busy(state) > 0)
                 finishWork(state, options, WorkClass::Short, WorkOutcome::Succeeded, 10, now + 10);
         }
-        noteHint(state, options, { .healthy = false, .busy = 2, .age = 60000 }, now);
+        applyHint(state, options, { .healthy = false, .busy = 2, .age = 60000 }, now);
         for (std::uint64_t id = 1; id <= 3; ++id)
             CPPUNIT_ASSERT(admit(state, options, makeItem(id, now), now).decision == AdmitDecision::Run);
-        noteHint(state, options, { .healthy = false, .busy = 3, .age = 0 }, now);
+        applyHint(state, options, { .healthy = false, .busy = 3, .age = 0 }, now);
         const double held = state.limit.limit;
         for (int ended = 0; ended < 3; ++ended)
             finishWork(state, options, WorkClass::Short, WorkOutcome::Succeeded, 10, now + 50);
         CPPUNIT_ASSERT_EQUAL(held, state.limit.limit);
-        noteHint(state, options, { .healthy = true, .busy = 2, .age = 0 }, now);
+        applyHint(state, options, { .healthy = true, .busy = 2, .age = 0 }, now);
         CPPUNIT_ASSERT(admit(state, options, makeItem(4, now), now).decision == AdmitDecision::Run);
         CPPUNIT_ASSERT(admit(state, options, makeItem(5, now), now).decision == AdmitDecision::Queue);
-        noteHint(state, options, { .healthy = true, .busy = 1, .age = 0 }, now);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), takeRunnable(state, options, now).size());
+        applyHint(state, options, { .healthy = true, .busy = 1, .age = 0 }, now);
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), dequeueRunnable(state, options, now).size());
     }
 
     // Queued requests that are cancelled, drained or too late have not run and are refused as such.
-    void queuedWorkIsTakenBackTruly()
+    void queuedWorkIsRefusedAsNotRun()
     {
         const AdmissionOptions options { .slots = 1, .queueLimit = 4 };
         AdmissionState state;
@@ -317,41 +317,41 @@
         for (std::uint64_t id = 3; id < 6; ++id)
             CPPUNIT_ASSERT(admit(state, options, makeItem(id, 0, 500 + static_cast<Millis>(id)), 0).decision == AdmitDecision::Queue);
         CPPUNIT_ASSERT(admit(state, options, makeItem(6, 0), 0).refusal.reason == RefusalReason::QueueFull);
-        const AdmissionOptions impatient { .slots = 1, .queueLimit = 9, .longestShortWait = 150 };
-        CPPUNIT_ASSERT(admit(state, impatient, makeItem(6, 0, 60000), 0).refusal.reason == RefusalReason::ExpectedWaitTooLong);
+        const AdmissionOptions shortWaitLimit { .slots = 1, .queueLimit = 9, .maxShortWait = 150 };
+        CPPUNIT_ASSERT(admit(state, shortWaitLimit, makeItem(6, 0, 60000), 0).refusal.reason == RefusalReason::ExpectedWaitTooLong);
         CPPUNIT_ASSERT(cancelQueued(state, 4) && !cancelQueued(state, 4));
-        CPPUNIT_ASSERT_EQUAL(Millis(503), *nextWake(state, 0));
-        const auto expired = takeExpired(state, options, 503);
+        CPPUNIT_ASSERT_EQUAL(Millis(503), *nextWakeTime(state, 0));
+        const auto expired = removeExpired(state, options, 503);
         CPPUNIT_ASSERT(expired.size() == 2 && expired[0].refusal.reason == RefusalReason::DeadlinePassed);
         CPPUNIT_ASSERT(expired[1].refusal.reason == RefusalReason::ExpectedWaitTooLong && expired[1].refusal.ran == Ran::No);
         CPPUNIT_ASSERT(admit(state, options, makeItem(7, 503), 503).decision == AdmitDecision::Queue);
         const auto refused = refuseQueue(state, RefusalReason::UpstreamDraining, 503);
         CPPUNIT_ASSERT(refused.size() == 1 && refused[0].refusal.ran == Ran::No && refused[0].refusal.retryAfter >= 50);
-        CPPUNIT_ASSERT(!nextWake(state, 503) && busy(state) == 1 && queued(state) == 0);
+        CPPUNIT_ASSERT(!nextWakeTime(state, 503) && busy(state) == 1 && queued(state) == 0);
     }
 
     // Guards against a queue that is used up on an upstream that is down and refuses every connection. Starts pause for a
     // time that doubles up to a second.
-    void deadUpstreamIsNotHammered()
+    void startsPauseAfterFailures()
     {
         const AdmissionOptions options { .slots = 5 };
         AdmissionState state;
         for (int failure = 0; failure < 5; ++failure)
-            noteCompletion(state.limit, { .slots = 5 }, { .outcome = WorkOutcome::Failed, .busy = 5 }, 0);
+            recordCompletion(state.limit, { .slots = 5 }, { .outcome = WorkOutcome::Failed, .busy = 5 }, 0);
         CPPUNIT_ASSERT_EQUAL(Millis(50), state.limit.pausedUntil);
         state = {};
         std::uint32_t starts = 0;
         for (Millis now = 0; now < 10000; ++now) {
-            takeExpired(state, options, now);
+            removeExpired(state, options, now);
             std::size_t started = admit(state, options, makeItem(1, now, 3000), now).decision == AdmitDecision::Run ? 1 : 0;
-            started += takeRunnable(state, options, now).size();
+            started += dequeueRunnable(state, options, now).size();
             for (std::size_t count = 0; count < started; ++count)
                 finishWork(state, options, WorkClass::Short, WorkOutcome::Failed, 0, now);
             starts += started;
         }
         CPPUNIT_ASSERT(starts >= 9 && starts < 20);
-        restartCold(state, 10000);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), takeRunnable(state, options, 10000).size());
+        restartWarmUp(state, 10000);
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), dequeueRunnable(state, options, 10000).size());
     }
 };
 
--- a/tests/decision/testguards.cpp
+++ b/tests/decision/testguards.cpp
@@ -13,41 +13,41 @@
 
 class TestGuards : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(TestGuards);
-    CPPUNIT_TEST(endedFlowIsNotOpenedAgain);
-    CPPUNIT_TEST(strayPacketDoesNotEndAFlow);
+    CPPUNIT_TEST(closedFlowIsNotReopened);
+    CPPUNIT_TEST(misdirectedPacketDoesNotEndAFlow);
     CPPUNIT_TEST(packetsAreHeldAfterAPause);
-    CPPUNIT_TEST(returnWaitsForTheLinkedBalancers);
-    CPPUNIT_TEST(leaverStaysUntilCallersWereTold);
-    CPPUNIT_TEST(warmUpBeginsWithTheFirstRequestTaken);
-    CPPUNIT_TEST(oldLoadNewsIsNotFollowed);
+    CPPUNIT_TEST(returnWaitsForLinkedBalancers);
+    CPPUNIT_TEST(drainingAgentWaitsForCloseGrace);
+    CPPUNIT_TEST(warmUpBeginsWithTheFirstSuccess);
+    CPPUNIT_TEST(staleLoadReportsAreIgnored);
     CPPUNIT_TEST_SUITE_END();
 
     // Guards against a request that runs after its caller was told that it had not. The caller closes the flow, and a
     // balancer that was paused then delivers the flow's open and request again.
-    void endedFlowIsNotOpenedAgain()
+    void closedFlowIsNotReopened()
     {
         ClosedFlows closed;
-        const ClosedFlowOptions options { .keepFor = 1000, .maxEntries = 2 };
-        noteClosed(closed, options, 7, RefusalReason::UpstreamDraining, 0);
-        PacketFacts late { .isOpen = true, .endedFor = closedReason(closed, 7), .serviceMatches = true };
+        const ClosedFlowOptions options { .retention = 1000, .maxEntries = 2 };
+        recordClosedFlow(closed, options, 7, RefusalReason::UpstreamDraining, 0);
+        PacketFacts late { .isOpen = true, .closeReason = findCloseReason(closed, 7), .serviceMatches = true };
         CPPUNIT_ASSERT(decidePacket(late).action == PacketAction::ReplyReset);
         CPPUNIT_ASSERT(decidePacket(late).reason == RefusalReason::UpstreamDraining);
-        late.endedFor.reset();
+        late.closeReason.reset();
         CPPUNIT_ASSERT(decidePacket(late).action == PacketAction::Open);
-        noteClosed(closed, options, 8, RefusalReason::FlowUnknown, 10);
-        noteClosed(closed, options, 9, RefusalReason::FlowUnknown, 20);
-        CPPUNIT_ASSERT(!closedReason(closed, 7));
-        CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, expireClosed(closed, options, 1015));
-        CPPUNIT_ASSERT(!closedReason(closed, 8) && closedReason(closed, 9));
+        recordClosedFlow(closed, options, 8, RefusalReason::FlowUnknown, 10);
+        recordClosedFlow(closed, options, 9, RefusalReason::FlowUnknown, 20);
+        CPPUNIT_ASSERT(!findCloseReason(closed, 7));
+        CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, expireClosedFlows(closed, options, 1015));
+        CPPUNIT_ASSERT(!findCloseReason(closed, 8) && findCloseReason(closed, 9));
     }
 
     // Guards against a feed that ends because of one misdirected packet, which has its flow id and another service's
     // address.
-    void strayPacketDoesNotEndAFlow()
+    void misdirectedPacketDoesNotEndAFlow()
     {
-        const PacketFacts stray { .hasToken = true, .tokenIsMine = true, .holdsFlow = true, .serviceMatches = false };
-        CPPUNIT_ASSERT(decidePacket(stray).action == PacketAction::Drop);
-        CPPUNIT_ASSERT(decidePacket(stray).reason == RefusalReason::WrongService);
+        const PacketFacts misdirected { .hasToken = true, .tokenIsOwn = true, .holdsFlow = true, .serviceMatches = false };
+        CPPUNIT_ASSERT(decidePacket(misdirected).action == PacketAction::Drop);
+        CPPUNIT_ASSERT(decidePacket(misdirected).reason == RefusalReason::WrongService);
     }
 
     // Guards against stale packets. An agent is paused while its data centre is taken out; when it resumes, older packets
@@ -66,27 +66,27 @@
 
     // Guards against placement by stale load. A balancer with thousands of links gets load reports only every 90 s, and all
     // balancers would send their flows to the member that was emptiest then.
-    void oldLoadNewsIsNotFollowed()
+    void staleLoadReportsAreIgnored()
     {
         std::vector<Member> members { { .token = { 1, 1 }, .linked = true, .load = 100 }, { .token = { 2, 1 }, .linked = true, .load = 0 } };
         std::size_t secondChoices = 0;
         for (FlowId flow = 1; flow < 100; ++flow) {
-            CPPUNIT_ASSERT(!placeFlow(flow, members, { .newsInterval = 90000 })->passedOver);
-            secondChoices += placeFlow(flow, members, { .newsInterval = 1000 })->passedOver ? 1 : 0;
+            CPPUNIT_ASSERT(!placeFlow(flow, members, { .loadReportInterval = 90000 })->passedOver);
+            secondChoices += placeFlow(flow, members, { .loadReportInterval = 1000 })->passedOver ? 1 : 0;
         }
         CPPUNIT_ASSERT(secondChoices > 0);
     }
 
     // Guards against resets of new flows by a balancer whose configuration still has a returned data centre taken out.
-    void returnWaitsForTheLinkedBalancers()
+    void returnWaitsForLinkedBalancers()
     {
-        CPPUNIT_ASSERT(!mayReturn(5, std::array<ConfigVersion, 2> { 5, 4 }));
-        CPPUNIT_ASSERT(mayReturn(5, std::array<ConfigVersion, 2> { 5, 6 }));
-        CPPUNIT_ASSERT(mayReturn(5, {}));
+        CPPUNIT_ASSERT(!mayAcceptFlowsAfterReturn(5, std::array<ConfigVersion, 2> { 5, 4 }));
+        CPPUNIT_ASSERT(mayAcceptFlowsAfterReturn(5, std::array<ConfigVersion, 2> { 5, 6 }));
+        CPPUNIT_ASSERT(mayAcceptFlowsAfterReturn(5, {}));
     }
 
     // Guards against a broken flow when a draining agent closes its last idle flow and the packet that reports this is lost.
-    void leaverStaysUntilCallersWereTold()
+    void drainingAgentWaitsForCloseGrace()
     {
         const DrainOptions options { .announceGrace = 100, .closeGrace = 2000 };
         DrainProgress progress { .startedAt = 0, .announced = true, .announcedAt = 0, .lastClosedAt = 500 };
@@ -100,16 +100,16 @@
 
     // Guards against a warm-up that starts too early. An upstream refuses connections until 4 s and can then serve one
     // request.
-    void warmUpBeginsWithTheFirstRequestTaken()
+    void warmUpBeginsWithTheFirstSuccess()
     {
         const LimitOptions options { .slots = 5, .warmUp = 4000 };
         ConcurrencyLimit limit;
-        noteCompletion(limit, options, { .outcome = WorkOutcome::Failed }, 3000);
+        recordCompletion(limit, options, { .outcome = WorkOutcome::Failed }, 3000);
         for (Millis now = 4000; now < 4900; now += 50)
-            noteCompletion(limit, options, { .outcome = WorkOutcome::Succeeded, .serviceTime = 40, .busy = allowedConcurrency(limit, options) }, now);
+            recordCompletion(limit, options, { .outcome = WorkOutcome::Succeeded, .serviceTime = 40, .busy = allowedConcurrency(limit, options) }, now);
         CPPUNIT_ASSERT_EQUAL(1U, allowedConcurrency(limit, options));
         for (Millis now = 5000; now < 5100; now += 50)
-            noteCompletion(limit, options, { .outcome = WorkOutcome::Succeeded, .serviceTime = 40, .busy = allowedConcurrency(limit, options) }, now);
+            recordCompletion(limit, options, { .outcome = WorkOutcome::Succeeded, .serviceTime = 40, .busy = allowedConcurrency(limit, options) }, now);
         CPPUNIT_ASSERT_EQUAL(2U, allowedConcurrency(limit, options));
     }
 };
--- a/tests/decision/testpackets.cpp
+++ b/tests/decision/testpackets.cpp
@@ -13,14 +13,14 @@
 
 /// Calls `check` for every consistent combination of facts.
 template <typename Check>
-void forEveryPacket(Check check)
+void forEachPacketContext(Check check)
 {
     for (unsigned bits = 0; bits < 1U << 9; ++bits) {
         const auto bit = [bits](unsigned index) { return (bits >> index & 1U) != 0; };
         PacketFacts facts {
             .isOpen = bit(0),
             .hasToken = bit(1),
-            .tokenIsMine = bit(2),
+            .tokenIsOwn = bit(2),
             .tokenIsPredecessor = bit(3),
             .holdsFlow = bit(4),
             .redirectFound = bit(5),
@@ -28,7 +28,7 @@
             .draining = bit(7),
             .dataCentreOut = bit(8),
         };
-        const bool impossible = (!facts.hasToken && (facts.tokenIsMine || facts.tokenIsPredecessor)) || (facts.tokenIsMine && facts.tokenIsPredecessor);
+        const bool impossible = (!facts.hasToken && (facts.tokenIsOwn || facts.tokenIsPredecessor)) || (facts.tokenIsOwn && facts.tokenIsPredecessor);
         if (impossible)
             continue;
         for (const std::uint8_t hops : { std::uint8_t { 0 }, std::uint8_t(maxHops - 1), maxHops, std::uint8_t { 255 } }) {
@@ -38,7 +38,7 @@
     }
 }
 
-bool passesOn(const PacketVerdict& verdict)
+bool forwards(const PacketVerdict& verdict)
 {
     return verdict.action == PacketAction::ForwardToOwner || verdict.action == PacketAction::NextInRanking;
 }
@@ -94,11 +94,11 @@
 class TestPackets : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(TestPackets);
     CPPUNIT_TEST(agentServesOnlyItsOwnService);
-    CPPUNIT_TEST(agentNeverBreaksAFlowItCannotJudge);
-    CPPUNIT_TEST(agentTakesOnlyWhatItMayAndPassesOnTheRest);
-    CPPUNIT_TEST(balancerFollowsTheToken);
-    CPPUNIT_TEST(balancerWithAStaleViewBreaksNoFlow);
-    CPPUNIT_TEST(unownedPacketsWalkTheRanking);
+    CPPUNIT_TEST(agentDoesNotResetFlowsOfOtherAgents);
+    CPPUNIT_TEST(agentForwardsWhatItMayNotAccept);
+    CPPUNIT_TEST(balancerRoutesByToken);
+    CPPUNIT_TEST(staleViewResetsNoFlow);
+    CPPUNIT_TEST(unownedPacketsFollowTheRanking);
     CPPUNIT_TEST(routingAllocatesNothing);
     CPPUNIT_TEST_SUITE_END();
 
@@ -107,7 +107,7 @@
     void agentServesOnlyItsOwnService()
     {
         std::size_t misdelivered = 0;
-        forEveryPacket([&](const PacketFacts& facts, const PacketVerdict& verdict) {
+        forEachPacketContext([&](const PacketFacts& facts, const PacketVerdict& verdict) {
             CPPUNIT_ASSERT(!servesPacket(verdict) || facts.serviceMatches);
             if (verdict.reason == RefusalReason::WrongService)
                 CPPUNIT_ASSERT(!facts.serviceMatches && verdict.action == (facts.holdsFlow ? PacketAction::Drop : PacketAction::ReplyReset));
@@ -119,38 +119,38 @@
 
     // Guards against a reset of an open flow by an agent that does not hold it, which would cut a feed because of one stale
     // view.
-    void agentNeverBreaksAFlowItCannotJudge()
+    void agentDoesNotResetFlowsOfOtherAgents()
     {
-        forEveryPacket([](const PacketFacts& facts, const PacketVerdict& verdict) {
-            const bool ofAnother = facts.hasToken && !facts.tokenIsMine && !facts.tokenIsPredecessor;
+        forEachPacketContext([](const PacketFacts& facts, const PacketVerdict& verdict) {
+            const bool belongsToOther = facts.hasToken && !facts.tokenIsOwn && !facts.tokenIsPredecessor;
             const bool unowned = !facts.hasToken && !facts.holdsFlow && !facts.isOpen;
-            CPPUNIT_ASSERT(!(ofAnother || unowned) || passesOn(verdict) || verdict.action == PacketAction::Drop);
+            CPPUNIT_ASSERT(!(belongsToOther || unowned) || forwards(verdict) || verdict.action == PacketAction::Drop);
             if (verdict.reason == RefusalReason::FlowUnknown && verdict.action == PacketAction::ReplyReset)
-                CPPUNIT_ASSERT(facts.tokenIsMine && !facts.holdsFlow);
-            const bool held = facts.holdsFlow && facts.serviceMatches && !facts.dataCentreOut && (facts.tokenIsMine || !facts.hasToken);
+                CPPUNIT_ASSERT(facts.tokenIsOwn && !facts.holdsFlow);
+            const bool held = facts.holdsFlow && facts.serviceMatches && !facts.dataCentreOut && (facts.tokenIsOwn || !facts.hasToken);
             if (held)
                 CPPUNIT_ASSERT(verdict.action == PacketAction::Deliver);
         });
     }
 
-    void agentTakesOnlyWhatItMayAndPassesOnTheRest()
+    void agentForwardsWhatItMayNotAccept()
     {
-        forEveryPacket([](const PacketFacts& facts, const PacketVerdict& verdict) {
+        forEachPacketContext([](const PacketFacts& facts, const PacketVerdict& verdict) {
             CPPUNIT_ASSERT(!facts.dataCentreOut || !servesPacket(verdict));
             const bool isNew = facts.isOpen && !facts.holdsFlow && !facts.hasToken && !facts.redirectFound;
             CPPUNIT_ASSERT(verdict.action != PacketAction::Open || (isNew && !facts.draining));
             if (isNew && facts.draining && verdict.action == PacketAction::ReplyReset)
                 CPPUNIT_ASSERT(facts.hops >= maxHops || !facts.serviceMatches);
-            CPPUNIT_ASSERT(!passesOn(verdict) || facts.hops < maxHops);
+            CPPUNIT_ASSERT(!forwards(verdict) || facts.hops < maxHops);
             // A misdirected packet for another service must not end the flow held under its id.
-            const bool isStray = facts.holdsFlow && verdict.reason == RefusalReason::WrongService;
-            CPPUNIT_ASSERT(verdict.action != PacketAction::Drop || facts.hops >= maxHops || isStray);
+            const bool isMisdirected = facts.holdsFlow && verdict.reason == RefusalReason::WrongService;
+            CPPUNIT_ASSERT(verdict.action != PacketAction::Drop || facts.hops >= maxHops || isMisdirected);
             const bool hasReason = verdict.reason != RefusalReason::None;
             CPPUNIT_ASSERT_EQUAL(verdict.action == PacketAction::ReplyReset || verdict.action == PacketAction::Drop, hasReason);
         });
     }
 
-    void balancerFollowsTheToken()
+    void balancerRoutesByToken()
     {
         const auto members = makeMembers();
         const MemberIndex index = buildMemberIndex(members);
@@ -181,7 +181,7 @@
 
     // Guards against resets by stale views. Each balancer knows some of the members, some of them from before a restart. It
     // must not reset a flow whose owner is the newest of its upstream and not taken out.
-    void balancerWithAStaleViewBreaksNoFlow()
+    void staleViewResetsNoFlow()
     {
         for (unsigned known = 0; known < 1U << 8; ++known) {
             std::vector<Member> view;
@@ -199,7 +199,7 @@
         }
     }
 
-    void unownedPacketsWalkTheRanking()
+    void unownedPacketsFollowTheRanking()
     {
         const auto members = makeMembers();
         const std::vector<UpstreamId> all { 1, 2, 3, 4, 5, 6, 7 };
@@ -207,9 +207,9 @@
             const RouteResult opened = routeUnowned(members, { .flow = flow, .isOpen = true }, {});
             CPPUNIT_ASSERT(members[opened.member].state == MemberState::Serving && members[opened.member].linked);
             const std::vector<UpstreamId> visited { members[opened.member].token.upstream };
-            const RouteResult walked = routeUnowned(members, { .flow = flow, .hops = 1, .visited = visited }, {});
-            CPPUNIT_ASSERT(walked.action == RouteAction::ToMember && members[walked.member].token.upstream != visited[0]);
-            CPPUNIT_ASSERT(members[walked.member].state != MemberState::Out);
+            const RouteResult forwarded = routeUnowned(members, { .flow = flow, .hops = 1, .visited = visited }, {});
+            CPPUNIT_ASSERT(forwarded.action == RouteAction::ToMember && members[forwarded.member].token.upstream != visited[0]);
+            CPPUNIT_ASSERT(members[forwarded.member].state != MemberState::Out);
             CPPUNIT_ASSERT_EQUAL(std::string("drop flowUnknown"), describe(routeUnowned(members, { .flow = flow, .visited = all }, {})));
             CPPUNIT_ASSERT(routeUnowned(members, { .flow = flow, .isOpen = true, .visited = all }, {}).action == RouteAction::ResetFlow);
         }
--- a/tests/decision/testproperties.cpp
+++ b/tests/decision/testproperties.cpp
@@ -30,7 +30,7 @@
 
 /// Whether the property is true for every generated history. A counterexample is shrunk and printed.
 template <typename Property>
-bool holds(const char* name, unsigned kinds, unsigned subjects, Property property)
+bool propertyHolds(const char* name, unsigned kinds, unsigned subjects, Property property)
 {
     return rc::check(name, [&] {
         const auto step = rc::gen::construct<Step>(rc::gen::inRange(0U, kinds), rc::gen::inRange(0U, subjects),
@@ -40,7 +40,7 @@
 }
 
 /// One key that is sent to three owners. Each packet may be late, duplicated or reordered.
-struct KeyWorld {
+struct KeySimulation {
     struct Attempt {
         std::size_t owner = 0;
         EarlierAttempts earlier;
@@ -74,7 +74,7 @@
         if (sent.empty())
             return;
         const auto& packet = sent[which % sent.size()];
-        attempts.push_back({ .owner = packet.back().upstream - 1, .earlier = startAttempts(std::span(packet).first(packet.size() - 1), packet.back()) });
+        attempts.push_back({ .owner = packet.back().upstream - 1, .earlier = collectEarlierAttempts(std::span(packet).first(packet.size() - 1), packet.back()) });
         proceed(attempts.back());
     }
 
@@ -98,9 +98,9 @@
         if (attempt.phase != Attempt::Asking)
             return;
         if (reachable)
-            noteAnswer(attempt.earlier, tokenOf(owner), queryAndFence(ledgers[owner], options, "key", now));
+            recordAnswer(attempt.earlier, tokenOf(owner), queryAndFence(ledgers[owner], options, "key", now));
         else
-            noteUnreachable(attempt.earlier, tokenOf(owner));
+            recordUnreachable(attempt.earlier, tokenOf(owner));
         proceed(attempt);
     }
 
@@ -118,7 +118,7 @@
         runs -= outcome % 3 == 1 ? 1 : 0;
     }
 
-    void take(const Step& step)
+    void apply(const Step& step)
     {
         now += step.passed;
         switch (step.kind) {
@@ -138,53 +138,53 @@
 
 class TestProperties : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(TestProperties);
-    CPPUNIT_TEST(keyRunsAtMostOnceWhateverArrives);
-    CPPUNIT_TEST(redirectsFollowTheirModel);
-    CPPUNIT_TEST(configurationNeverRevertsAndSpreads);
-    CPPUNIT_TEST(limitStaysInItsBounds);
-    CPPUNIT_TEST(admissionLosesNothing);
-    CPPUNIT_TEST(indexFindsWhatASearchFinds);
+    CPPUNIT_TEST(keyRunsAtMostOnce);
+    CPPUNIT_TEST(redirectsMatchTheModel);
+    CPPUNIT_TEST(configurationSpreadsAndNeverReverts);
+    CPPUNIT_TEST(limitStaysWithinBounds);
+    CPPUNIT_TEST(everyRequestEndsExactlyOnce);
+    CPPUNIT_TEST(indexMatchesLinearSearch);
     CPPUNIT_TEST_SUITE_END();
 
     // Guards against a key that runs twice. A non-idempotent request is sent on several flows, each naming the earlier
     // owners; packets are late, duplicated and reordered, answers are lost and owners shed. Without the guard the key does
     // run twice.
-    void keyRunsAtMostOnceWhateverArrives()
+    void keyRunsAtMostOnce()
     {
-        CPPUNIT_ASSERT(holds("a key runs at most once", 4, 12, [](const History& history) {
-            KeyWorld world;
+        CPPUNIT_ASSERT(propertyHolds("a key runs at most once", 4, 12, [](const History& history) {
+            KeySimulation simulation;
             for (const Step& step : history) {
-                world.take(step);
-                RC_ASSERT(world.runs <= 1);
+                simulation.apply(step);
+                RC_ASSERT(simulation.runs <= 1);
             }
         }));
-        KeyWorld unguarded { .options = { .guard = false } };
+        KeySimulation unguarded { .options = { .guard = false } };
         for (const Step& step : { Step { 0, 0 }, Step { 1, 0 }, Step { 0, 1 }, Step { 1, 1 } })
-            unguarded.take(step);
+            unguarded.apply(step);
         CPPUNIT_ASSERT_EQUAL(2U, unguarded.runs);
     }
 
-    void redirectsFollowTheirModel()
+    void redirectsMatchTheModel()
     {
-        CPPUNIT_ASSERT(holds("redirects match the model", 5, 12, [](const History& history) {
-            const RedirectOptions options { .maxEntries = 6, .keepFor = 2000 };
+        CPPUNIT_ASSERT(propertyHolds("redirects match the model", 5, 12, [](const History& history) {
+            const RedirectOptions options { .maxEntries = 6, .retention = 2000 };
             Redirects redirects;
-            struct Noted {
+            struct Recorded {
                 FlowId flow;
                 OwnerToken owner;
                 Millis at;
             };
-            std::vector<Noted> model;
+            std::vector<Recorded> model;
             Millis now = 0;
             for (const Step& step : history) {
                 now += step.passed;
                 const FlowId flow = step.subject;
                 const OwnerToken owner { step.other % 3 + 1, static_cast<Incarnation>(step.other / 3 + 1) };
-                const auto ofFlow = [&](const Noted& noted) { return noted.flow == flow; };
+                const auto ofFlow = [&](const Recorded& recorded) { return recorded.flow == flow; };
                 if (step.kind <= 1) {
-                    noteRedirect(redirects, options, flow, owner, now);
-                    const bool isOld = std::any_of(model.begin(), model.end(), [&](const Noted& noted) {
-                        return ofFlow(noted) && noted.owner.upstream == owner.upstream && noted.owner.incarnation > owner.incarnation;
+                    recordRedirect(redirects, options, flow, owner, now);
+                    const bool isOld = std::any_of(model.begin(), model.end(), [&](const Recorded& recorded) {
+                        return ofFlow(recorded) && recorded.owner.upstream == owner.upstream && recorded.owner.incarnation > owner.incarnation;
                     });
                     if (!isOld) {
                         std::erase_if(model, ofFlow);
@@ -193,21 +193,21 @@
                     if (model.size() > options.maxEntries)
                         model.erase(model.begin());
                 } else if (step.kind == 2) {
-                    forgetFlow(redirects, flow);
+                    removeRedirect(redirects, flow);
                     std::erase_if(model, ofFlow);
                 } else if (step.kind == 3) {
-                    const auto gone = std::erase_if(model, [&](const Noted& noted) { return noted.owner == owner; });
-                    RC_ASSERT(forgetOwner(redirects, owner) == gone);
+                    const auto gone = std::erase_if(model, [&](const Recorded& recorded) { return recorded.owner == owner; });
+                    RC_ASSERT(removeOwner(redirects, owner) == gone);
                 } else {
-                    const auto old = std::erase_if(model, [&](const Noted& noted) { return now - noted.at > options.keepFor; });
+                    const auto old = std::erase_if(model, [&](const Recorded& recorded) { return now - recorded.at > options.retention; });
                     RC_ASSERT(expireRedirects(redirects, options, now) == old);
                 }
                 RC_ASSERT((redirects.entries.size() == model.size() && redirects.order.size() == model.size()));
                 for (FlowId any = 0; any < 12; ++any) {
                     std::optional<OwnerToken> expected;
-                    for (const Noted& noted : model) {
-                        if (noted.flow == any && now - noted.at <= options.keepFor)
-                            expected = noted.owner;
+                    for (const Recorded& recorded : model) {
+                        if (recorded.flow == any && now - recorded.at <= options.retention)
+                            expected = recorded.owner;
                     }
                     RC_ASSERT((findRedirect(redirects, options, any, now) == expected));
                 }
@@ -218,35 +218,35 @@
     // Guards against a configuration that reverts. Versions reach six daemons in any order, late and duplicated, and daemons
     // exchange them. No daemon goes back to an older one, and after one round of heartbeats around the ring in both
     // directions all have the newest.
-    void configurationNeverRevertsAndSpreads()
+    void configurationSpreadsAndNeverReverts()
     {
-        CPPUNIT_ASSERT(holds("configuration never reverts", 2, 6, [](const History& history) {
+        CPPUNIT_ASSERT(propertyHolds("configuration never reverts", 2, 6, [](const History& history) {
             std::array<ConfigVersion, 6> held {};
-            const auto take = [&](std::size_t daemon, ConfigVersion offered) {
+            const auto apply = [&](std::size_t daemon, ConfigVersion offered) {
                 const ConfigVersion before = held[daemon];
                 if (supersedes(before, offered))
                     held[daemon] = offered;
                 RC_ASSERT((held[daemon] >= before && held[daemon] >= offered));
             };
-            const auto meet = [&](std::size_t one, std::size_t two) {
+            const auto synchronise = [&](std::size_t one, std::size_t two) {
                 const ConfigStep step = nextConfigStep(held[one], held[two]);
                 if (step == ConfigStep::Fetch)
-                    take(one, held[two]);
+                    apply(one, held[two]);
                 else if (step == ConfigStep::Offer)
-                    take(two, held[one]);
+                    apply(two, held[one]);
                 RC_ASSERT(held[one] == held[two]);
             };
             for (const Step& step : history) {
                 if (step.kind == 0)
-                    take(step.subject, static_cast<ConfigVersion>(step.passed));
+                    apply(step.subject, static_cast<ConfigVersion>(step.passed));
                 else
-                    meet(step.subject, step.other);
+                    synchronise(step.subject, step.other);
             }
             const ConfigVersion newest = *std::max_element(held.begin(), held.end());
             for (std::size_t daemon = 0; daemon + 1 < held.size(); ++daemon)
-                meet(daemon, daemon + 1);
+                synchronise(daemon, daemon + 1);
             for (std::size_t daemon = held.size() - 1; daemon > 0; --daemon)
-                meet(daemon - 1, daemon);
+                synchronise(daemon - 1, daemon);
             RC_ASSERT(std::all_of(held.begin(), held.end(), [&](ConfigVersion version) { return version == newest; }));
         }));
         CPPUNIT_ASSERT(supersedes(7, 6, { .guard = false }));
@@ -254,9 +254,9 @@
 
     // For any sequence of outcomes the limit is between one and the slots, is one after a shed or a failure, and never
     // exceeds the straight line of its warm-up.
-    void limitStaysInItsBounds()
+    void limitStaysWithinBounds()
     {
-        CPPUNIT_ASSERT(holds("the limit stays within its bounds", 12, 9, [](const History& history) {
+        CPPUNIT_ASSERT(propertyHolds("the limit stays within its bounds", 12, 9, [](const History& history) {
             const LimitOptions options { .slots = 8, .warmUp = 3000 };
             ConcurrencyLimit limit;
             Millis firstAnswer = -1;
@@ -268,12 +268,12 @@
                 const Millis time = step.kind == 11 ? 900 : 20 + static_cast<Millis>(step.other);
                 const auto coldStarts = limit.coldStarts;
                 const std::uint32_t before = allowedConcurrency(limit, options);
-                noteCompletion(limit, options, { .outcome = outcome, .serviceTime = time, .busy = step.subject }, now);
+                recordCompletion(limit, options, { .outcome = outcome, .serviceTime = time, .busy = step.subject }, now);
                 const std::uint32_t allowed = allowedConcurrency(limit, options);
                 RC_ASSERT((allowed >= 1 && allowed <= options.slots));
-                const bool turnedAway = outcome == WorkOutcome::Shed || outcome == WorkOutcome::Failed;
+                const bool rejected = outcome == WorkOutcome::Shed || outcome == WorkOutcome::Failed;
                 RC_ASSERT((allowed <= before || step.subject >= before));
-                if (turnedAway)
+                if (rejected)
                     RC_ASSERT((allowed == 1 && limit.cold && limit.coldStarts == coldStarts + 1));
                 if (limit.coldStarts != coldStarts) {
                     firstAnswer = -1;
@@ -290,9 +290,9 @@
 
     // Requests arrive, start, end, are cancelled and expire in any order. Each ends exactly once, none starts after its
     // deadline, and neither the slots nor the queue limit are exceeded.
-    void admissionLosesNothing()
+    void everyRequestEndsExactlyOnce()
     {
-        CPPUNIT_ASSERT(holds("every request ends exactly once", 8, 8, [](const History& history) {
+        CPPUNIT_ASSERT(propertyHolds("every request ends exactly once", 8, 8, [](const History& history) {
             const AdmissionOptions options { .slots = 4, .queueLimit = 6, .warmUp = 1000 };
             AdmissionState state;
             std::map<std::uint64_t, WorkItem> waiting;
@@ -319,23 +319,23 @@
                     finishWork(state, options, running.back().workClass, outcome, step.passed, now);
                     running.pop_back();
                 }
-                for (const ExpiredItem& expired : takeExpired(state, options, now))
+                for (const RefusedItem& expired : removeExpired(state, options, now))
                     RC_ASSERT((waiting.erase(expired.item.id) == 1 && expired.refusal.ran == Ran::No));
-                for (const WorkItem& started : takeRunnable(state, options, now)) {
+                for (const WorkItem& started : dequeueRunnable(state, options, now)) {
                     RC_ASSERT((waiting.erase(started.id) == 1 && started.deadline > now));
                     running.push_back(started);
                 }
                 RC_ASSERT((busy(state) == running.size() && busy(state) <= options.slots));
                 RC_ASSERT((queued(state) == waiting.size() && queued(state) <= options.queueLimit));
-                const auto wake = nextWake(state, now);
+                const auto wake = nextWakeTime(state, now);
                 RC_ASSERT((wake.has_value() == !waiting.empty() && (!wake || *wake > now)));
             }
         }));
     }
 
-    void indexFindsWhatASearchFinds()
+    void indexMatchesLinearSearch()
     {
-        CPPUNIT_ASSERT(holds("the index matches a linear search", 1, 10, [](const History& history) {
+        CPPUNIT_ASSERT(propertyHolds("the index matches a linear search", 1, 10, [](const History& history) {
             std::set<std::pair<UpstreamId, Incarnation>> tokens;
             for (const Step& step : history)
                 tokens.insert({ step.subject + 1, step.other + 1 });
--- a/tests/decision/testwork.cpp
+++ b/tests/decision/testwork.cpp
@@ -11,21 +11,21 @@
 
 class TestWork : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(TestWork);
-    CPPUNIT_TEST(keyRunsOnce);
-    CPPUNIT_TEST(askedKeyNeverRunsLater);
-    CPPUNIT_TEST(fullLedgerRefusesRatherThanForgets);
-    CPPUNIT_TEST(earlierAttemptsDecide);
-    CPPUNIT_TEST(retryOnlyWhatIsSafe);
-    CPPUNIT_TEST(outageCannotBecomeARetryStorm);
-    CPPUNIT_TEST(leaseCountsOnlyWatchedTime);
-    CPPUNIT_TEST(heartbeatsStayInTheirBudget);
-    CPPUNIT_TEST(leavingCutsNoRequest);
+    CPPUNIT_TEST(duplicateKeyDoesNotRunAgain);
+    CPPUNIT_TEST(queriedKeyNeverRunsLater);
+    CPPUNIT_TEST(fullLedgerRefusesNewKeys);
+    CPPUNIT_TEST(earlierAttemptsDecideWhetherToRun);
+    CPPUNIT_TEST(onlySafeRequestsAreRetried);
+    CPPUNIT_TEST(retriesStayWithinBudget);
+    CPPUNIT_TEST(leaseCountsOnlyObservedTime);
+    CPPUNIT_TEST(heartbeatsStayWithinBudget);
+    CPPUNIT_TEST(drainCutsNoRequest);
     CPPUNIT_TEST_SUITE_END();
 
-    const LedgerOptions m_options { .maxEntries = 4, .keepFor = 1000 };
+    const LedgerOptions m_options { .maxEntries = 4, .retention = 1000 };
 
     // The same non-idempotent request arrives twice over two balancers, and once more after each outcome.
-    void keyRunsOnce()
+    void duplicateKeyDoesNotRunAgain()
     {
         const struct {
             LedgerState outcome;
@@ -55,7 +55,7 @@
 
     // Guards against a request that runs twice. Its flow becomes silent, its caller sends it on a new flow, and the new
     // owner queries the old one; then the first packet arrives late.
-    void askedKeyNeverRunsLater()
+    void queriedKeyNeverRunsLater()
     {
         Ledger ledger;
         CPPUNIT_ASSERT(queryAndFence(ledger, m_options, "late", 0) == LedgerState::NeverSeen);
@@ -74,7 +74,7 @@
     }
 
     // Guards against a key that runs twice because the ledger is full and has removed it.
-    void fullLedgerRefusesRatherThanForgets()
+    void fullLedgerRefusesNewKeys()
     {
         Ledger ledger;
         for (const char* key : { "a", "b", "c", "d" })
@@ -88,10 +88,10 @@
         CPPUNIT_ASSERT(beginWork(ledger, m_options, "b", 1000000) == BeginVerdict::AlreadyRunning);
     }
 
-    void earlierAttemptsDecide()
+    void earlierAttemptsDecideWhetherToRun()
     {
-        const OwnerToken mine { 9, 1 };
-        const std::vector<OwnerToken> owners { { 1, 1 }, mine, { 2, 1 }, { 1, 1 }, {} };
+        const OwnerToken ownToken { 9, 1 };
+        const std::vector<OwnerToken> owners { { 1, 1 }, ownToken, { 2, 1 }, { 1, 1 }, {} };
         using State = LedgerState;
         const struct {
             std::optional<LedgerState> first, second;
@@ -109,34 +109,34 @@
             { State::Unknown, {}, AttemptsDecision::Refuse, Ran::Unknown, RefusalReason::EarlierAttemptUnknown },
         };
         for (const auto& row : rows) {
-            EarlierAttempts earlier = startAttempts(owners, mine);
+            EarlierAttempts earlier = collectEarlierAttempts(owners, ownToken);
             CPPUNIT_ASSERT_EQUAL(std::size_t(2), earlier.attempts.size());
             if (row.first)
-                noteAnswer(earlier, { 1, 1 }, *row.first);
+                recordAnswer(earlier, { 1, 1 }, *row.first);
             if (row.second)
-                noteAnswer(earlier, { 2, 1 }, *row.second);
+                recordAnswer(earlier, { 2, 1 }, *row.second);
             const AttemptsVerdict verdict = decideAttempts(earlier);
             CPPUNIT_ASSERT(verdict.decision == row.decision && verdict.refusal.reason == row.reason && verdict.refusal.ran == row.ran);
             CPPUNIT_ASSERT(decideAttempts(earlier, { .guard = false }).decision == AttemptsDecision::Run);
         }
-        EarlierAttempts earlier = startAttempts(owners, mine);
-        noteUnreachable(earlier, { 1, 1 });
-        noteAnswer(earlier, { 1, 1 }, State::NeverSeen);
-        noteAnswer(earlier, { 2, 1 }, State::NeverSeen);
+        EarlierAttempts earlier = collectEarlierAttempts(owners, ownToken);
+        recordUnreachable(earlier, { 1, 1 });
+        recordAnswer(earlier, { 1, 1 }, State::NeverSeen);
+        recordAnswer(earlier, { 2, 1 }, State::NeverSeen);
         CPPUNIT_ASSERT(decideAttempts(earlier).refusal.reason == RefusalReason::EarlierAttemptUnknown);
-        earlier = startAttempts(owners, mine);
-        noteAnswer(earlier, { 1, 1 }, LedgerState::Ran);
-        noteAnswer(earlier, { 1, 1 }, LedgerState::NeverSeen);
-        noteAnswer(earlier, { 2, 1 }, LedgerState::NeverSeen);
+        earlier = collectEarlierAttempts(owners, ownToken);
+        recordAnswer(earlier, { 1, 1 }, LedgerState::Ran);
+        recordAnswer(earlier, { 1, 1 }, LedgerState::NeverSeen);
+        recordAnswer(earlier, { 2, 1 }, LedgerState::NeverSeen);
         CPPUNIT_ASSERT(decideAttempts(earlier).refusal.reason == RefusalReason::AlreadyRan);
         std::vector<OwnerToken> many;
         for (UpstreamId upstream = 1; upstream <= maxEarlierAttempts + 1; ++upstream)
             many.push_back({ upstream, 1 });
-        CPPUNIT_ASSERT(decideAttempts(startAttempts(many, { 99, 1 })).decision == AttemptsDecision::Refuse);
-        CPPUNIT_ASSERT(decideAttempts(startAttempts({}, mine)).decision == AttemptsDecision::Run);
+        CPPUNIT_ASSERT(decideAttempts(collectEarlierAttempts(many, { 99, 1 })).decision == AttemptsDecision::Refuse);
+        CPPUNIT_ASSERT(decideAttempts(collectEarlierAttempts({}, ownToken)).decision == AttemptsDecision::Run);
     }
 
-    void retryOnlyWhatIsSafe()
+    void onlySafeRequestsAreRetried()
     {
         const RetryFacts filing { .idempotent = false, .tries = 1, .deadline = 1000, .now = 0 };
         const RetryFacts query { .idempotent = true, .tries = 1, .deadline = 1000, .now = 0 };
@@ -147,7 +147,7 @@
             AttemptResult result;
             RetryReason reason;
             Millis delay = 0;
-            bool retry = false, newFlow = false, nameEarlier = false;
+            bool retry = false, newFlow = false, nameEarlierOwners = false;
         } rows[] = {
             { filing, { Ran::No, RefusalReason::QueueFull, 100 }, RetryReason::NotRun, 20, true, true, true },
             { filing, { Ran::No, RefusalReason::BodyCorrupt, 100 }, RetryReason::NotRun, 100, true, false, true },
@@ -164,20 +164,20 @@
             RetryBudget budget { .tokens = 2 };
             const RetryVerdict verdict = decideRetry(budget, {}, row.facts, row.result);
             CPPUNIT_ASSERT_EQUAL(nameOf(row.reason), nameOf(verdict.reason));
-            CPPUNIT_ASSERT(verdict.retry == row.retry && verdict.newFlow == row.newFlow && verdict.nameEarlier == row.nameEarlier);
+            CPPUNIT_ASSERT(verdict.retry == row.retry && verdict.newFlow == row.newFlow && verdict.nameEarlierOwners == row.nameEarlierOwners);
             CPPUNIT_ASSERT_EQUAL(row.delay, verdict.delay);
             CPPUNIT_ASSERT_EQUAL(row.retry ? 1.0 : 2.0, budget.tokens);
         }
     }
 
     // Guards against a retry storm. While every first try fails, retries stay at a tenth of them plus the budget's burst.
-    void outageCannotBecomeARetryStorm()
+    void retriesStayWithinBudget()
     {
         RetryBudget budget;
         const RetryFacts facts { .idempotent = true, .tries = 1, .deadline = 1000, .now = 0 };
         std::uint32_t retries = 0;
         for (int tries = 0; tries < 10000; ++tries) {
-            noteFirstTry(budget, {});
+            recordFirstTry(budget, {});
             retries += decideRetry(budget, {}, facts, { Ran::No, RefusalReason::UpstreamUnreachable }).retry ? 1 : 0;
         }
         CPPUNIT_ASSERT(retries >= 990 && retries <= 1005);
@@ -186,29 +186,29 @@
 
     // Guards against leases that lapse because the platform is down for an hour or the observer is paused. A lease lapses if
     // its holder does not renew while the platform answers, and a newer incarnation fences the holder.
-    void leaseCountsOnlyWatchedTime()
+    void leaseCountsOnlyObservedTime()
     {
-        LeaseView view = watchLease(10000, 5, 0);
+        LeaseView view = observeLease(10000, 5, 0);
         Millis now = 0;
         for (; now < 3600000; now += 500)
-            watchTime(view, {}, false, now);
+            addObservedTime(view, {}, false, now);
         CPPUNIT_ASSERT(!isLapsed(view));
         now += 60000;
-        watchTime(view, {}, true, now);
+        addObservedTime(view, {}, true, now);
         CPPUNIT_ASSERT(!isLapsed(view));
-        noteRenewal(view, 5, now);
-        CPPUNIT_ASSERT(view.unrenewed > 0);
-        noteRenewal(view, 6, now);
+        recordRenewal(view, 5, now);
+        CPPUNIT_ASSERT(view.timeSinceRenewal > 0);
+        recordRenewal(view, 6, now);
         for (const Millis end = now + 9500; now < end; now += 500)
-            watchTime(view, {}, true, now);
+            addObservedTime(view, {}, true, now);
         CPPUNIT_ASSERT(!isLapsed(view));
-        watchTime(view, {}, true, now += 500);
-        watchTime(view, {}, true, now += 500);
+        addObservedTime(view, {}, true, now += 500);
+        addObservedTime(view, {}, true, now += 500);
         CPPUNIT_ASSERT(isLapsed(view));
-        CPPUNIT_ASSERT(mayTakeNewWork(3, std::nullopt) && mayTakeNewWork(3, 3) && mayTakeNewWork(3, 2) && !mayTakeNewWork(3, 4));
+        CPPUNIT_ASSERT(mayAcceptNewWork(3, std::nullopt) && mayAcceptNewWork(3, 3) && mayAcceptNewWork(3, 2) && !mayAcceptNewWork(3, 4));
     }
 
-    void heartbeatsStayInTheirBudget()
+    void heartbeatsStayWithinBudget()
     {
         const PacingOptions options;
         for (const std::size_t links : { 0U, 1U, 10U, 50U, 700U, 4500U }) {
@@ -221,7 +221,7 @@
 
     // Guards against a drain that cuts a feed or a query in transit. Idle flows are closed once the balancers know of the
     // drain.
-    void leavingCutsNoRequest()
+    void drainCutsNoRequest()
     {
         const DrainOptions options { .announceGrace = 3000, .idleBeforeClose = 1000, .limit = 60000 };
         const DrainProgress announced { .startedAt = 0, .announced = true, .announcedAt = 100 };
