--- a/src/kingcuptraild/packets/agentannouncement.cpp
+++ b/src/kingcuptraild/packets/agentannouncement.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-    bool saysTheSame(PeerEntry first, const PeerEntry& second)
+    bool equalsIgnoringEpoch(PeerEntry first, const PeerEntry& second)
     {
         first.epoch = second.epoch;
         return first == second;
@@ -30,15 +30,15 @@
 {
     m_entry = entry;
     m_isWritten = false;
-    if (!m_isBusy && m_leavingName.empty())
-        begin();
+    if (!m_isBusy && m_withdrawnName.empty())
+        startWrite();
 }
 
 // After a restart beside a running upstream the store usually has the entry already, and when all agents restart together
 // they all check at once. A read that may be stale costs the store a fraction of a write that fails with a conflict.
-void AgentAnnouncement::begin()
+void AgentAnnouncement::startWrite()
 {
-    if (m_version == 0 && !m_isChecked)
+    if (m_version == 0 && !m_isStaleReadDone)
         read(ListFreshness::MayBeOld);
     else
         put();
@@ -73,7 +73,7 @@
         } else if (reason == PlatformError::Conflict || reason == PlatformError::NotFound) {
             read(ListFreshness::Current);
         } else {
-            putLater(reason);
+            retryPut(reason);
         }
     });
 }
@@ -87,7 +87,7 @@
         agentKind, m_entry->name, [this, freshness](const std::optional<PlatformObject>& object, PlatformError reason) {
             m_isBusy = false;
             if (!object && reason != PlatformError::NotFound) {
-                putLater(reason);
+                retryPut(reason);
                 return;
             }
             m_version = object ? object->version : 0;
@@ -100,8 +100,8 @@
             if (m_isBusy)
                 return;
             // The stored entry differs in its epoch only. Processes exchange epochs directly, so it needs no write.
-            if (found && saysTheSame(*found, *m_entry))
-                takeStanding(freshness);
+            if (found && equalsIgnoringEpoch(*found, *m_entry))
+                keepStoredEntry(freshness);
             else
                 put();
         },
@@ -110,18 +110,18 @@
 
 // Keeps the entry that the store has. After a stale read it is read once more, because the previous process of this agent
 // may have removed it a moment before.
-void AgentAnnouncement::takeStanding(ListFreshness freshness)
+void AgentAnnouncement::keepStoredEntry(ListFreshness freshness)
 {
     m_isWritten = true;
-    if (freshness == ListFreshness::Current || std::exchange(m_isChecked, true))
+    if (freshness == ListFreshness::Current || std::exchange(m_isStaleReadDone, true))
         return;
-    m_delay.start(m_options.oldestAnswer, [this] {
-        if (!m_isBusy && m_leavingName.empty())
+    m_delay.start(m_options.rereadDelay, [this] {
+        if (!m_isBusy && m_withdrawnName.empty())
             read(ListFreshness::MayBeOld);
     });
 }
 
-void AgentAnnouncement::putLater(PlatformError reason)
+void AgentAnnouncement::retryPut(PlatformError reason)
 {
     retryLater(reason, "announcement", [this] {
         if (!m_isBusy && !m_isWritten)
@@ -129,10 +129,10 @@
     });
 }
 
-void AgentAnnouncement::retryLater(PlatformError reason, std::string_view call, std::function<void()> again)
+void AgentAnnouncement::retryLater(PlatformError reason, std::string_view call, std::function<void()> retry)
 {
     logEvent(Event::PlatformTrouble, { { "reason", nameOf(reason) }, { "call", call } });
-    m_delay.start(m_backoff.next(), std::move(again));
+    m_delay.start(m_backoff.next(), std::move(retry));
 }
 
 void AgentAnnouncement::withdraw(const std::string& name, std::function<void()> done)
@@ -141,34 +141,34 @@
     m_client.cancelAll();
     m_isBusy = false;
     m_isWritten = true;
-    m_leavingName = name;
+    m_withdrawnName = name;
     m_onWithdrawn = std::move(done);
     if (m_version != 0)
         remove(m_version);
     else
-        findToRemove();
+        readAndRemove();
 }
 
 // The entry may be that of an earlier process of this agent, or of a write of this process whose answer was lost. If it
 // stayed in the store, every process that starts later would count on an agent that is gone.
-void AgentAnnouncement::findToRemove()
+void AgentAnnouncement::readAndRemove()
 {
-    m_client.get(agentKind, m_leavingName, [this](const std::optional<PlatformObject>& object, PlatformError reason) {
+    m_client.get(agentKind, m_withdrawnName, [this](const std::optional<PlatformObject>& object, PlatformError reason) {
         if (object)
             remove(object->version);
         else if (reason == PlatformError::NotFound)
             finishWithdrawal();
         else
-            retryLater(reason, "withdrawal", [this] { findToRemove(); });
+            retryLater(reason, "withdrawal", [this] { readAndRemove(); });
     });
 }
 
 // An entry that was passed to write() during the withdrawal is written now.
 void AgentAnnouncement::finishWithdrawal()
 {
-    m_leavingName.clear();
+    m_withdrawnName.clear();
     m_version = 0;
-    m_isChecked = true;
+    m_isStaleReadDone = true;
     m_onWithdrawn();
     if (!m_isWritten)
         put();
@@ -176,11 +176,11 @@
 
 void AgentAnnouncement::remove(ObjectVersion version)
 {
-    m_client.remove(agentKind, m_leavingName, version, [this](const std::optional<ObjectVersion>&, PlatformError reason) {
+    m_client.remove(agentKind, m_withdrawnName, version, [this](const std::optional<ObjectVersion>&, PlatformError reason) {
         if (reason == PlatformError::None || reason == PlatformError::NotFound)
             finishWithdrawal();
         else
-            retryLater(reason, "withdrawal", [this] { findToRemove(); });
+            retryLater(reason, "withdrawal", [this] { readAndRemove(); });
     });
 }
 
--- a/src/kingcuptraild/packets/agentannouncement.h
+++ b/src/kingcuptraild/packets/agentannouncement.h
@@ -9,7 +9,7 @@
 struct AnnouncementOptions {
     /// How long after a possibly stale read the entry is read once more, in milliseconds. Longer than the age of the store's
     /// stale answers, which is some seconds.
-    Millis oldestAnswer = 15000;
+    Millis rereadDelay = 15000;
 };
 
 /// Keeps one agent's directory entry in the store, where balancers that start later find it. The store sees one write when
@@ -35,14 +35,14 @@
     std::uint64_t callsMade() const { return m_client.callsMade(); }
 
 private:
-    void begin();
+    void startWrite();
     void put();
     void read(ListFreshness freshness);
-    void takeStanding(ListFreshness freshness);
-    void putLater(PlatformError reason);
-    void findToRemove();
+    void keepStoredEntry(ListFreshness freshness);
+    void retryPut(PlatformError reason);
+    void readAndRemove();
     void remove(ObjectVersion version);
-    void retryLater(PlatformError reason, std::string_view call, std::function<void()> again);
+    void retryLater(PlatformError reason, std::string_view call, std::function<void()> retry);
     void finishWithdrawal();
 
     AnnouncementOptions m_options;
@@ -51,14 +51,14 @@
     Backoff m_backoff;
     std::optional<PeerEntry> m_entry;
     std::function<void(const PeerEntry&)> m_onFound;
-    std::string m_leavingName;
+    std::string m_withdrawnName;
     std::function<void()> m_onWithdrawn;
     ObjectVersion m_version = 0;
     bool m_isBusy = false;
     bool m_isWritten = false;
     /// Stale reads are no longer followed by a second one: that one is already scheduled, or this process has removed the
     /// entry itself and a stale read could still show it.
-    bool m_isChecked = false;
+    bool m_isStaleReadDone = false;
 };
 
 }
--- a/src/kingcuptraild/packets/agentstate.cpp
+++ b/src/kingcuptraild/packets/agentstate.cpp
@@ -4,20 +4,20 @@
 
 namespace kingcuptrail {
 
-void reply(AgentState& state, std::uint32_t balancer, FlowMessage message)
+void sendReply(AgentState& state, std::uint32_t balancer, FlowMessage message)
 {
-    const AgentLoad now = loadOf(state);
+    const AgentLoad now = currentLoad(state);
     message.load = &now;
     message.configVersion = state.network.routes().version;
     state.network.send(balancer, message);
 }
 
-AgentLoad loadOf(const AgentState& state)
+AgentLoad currentLoad(const AgentState& state)
 {
-    return { .atWork = state.flows.atWork + static_cast<std::uint32_t>(state.waiting), .slots = state.gate.upstream ? state.gate.upstream->slots : 1, .usual = state.usualLoad, .isCold = state.role.clock.now() < state.gate.coldUntil };
+    return { .atWork = state.flows.atWork + static_cast<std::uint32_t>(state.waiting), .slots = state.flowAdmission.upstream ? state.flowAdmission.upstream->slots : 1, .usual = state.smoothedLoad, .isCold = state.role.clock.now() < state.flowAdmission.coldUntil };
 }
 
-std::uint32_t indexOf(AgentState& state, std::uint32_t sender)
+std::uint32_t markOf(AgentState& state, std::uint32_t sender)
 {
     const auto found = std::ranges::find(state.senders, sender);
     if (found != state.senders.end())
@@ -26,13 +26,13 @@
     return static_cast<std::uint32_t>(state.senders.size());
 }
 
-void deliver(AgentState& state, std::span<const std::uint8_t> packet, std::uint32_t mark)
+void deliverToUpstream(AgentState& state, std::span<const std::uint8_t> packet, std::uint32_t mark)
 {
-    state.scratch.assign(packet.begin(), packet.end());
-    state.adapter.clearMarks(state.scratch);
-    state.adapter.setMark(state.scratch, mark);
+    state.sendBuffer.assign(packet.begin(), packet.end());
+    state.adapter.clearMarks(state.sendBuffer);
+    state.adapter.setMark(state.sendBuffer, mark);
     const auto& upstream = state.role.settings.packets.upstream;
-    state.network.sendPacket(state.scratch, { upstream.address(), upstream.port() });
+    state.network.sendPacket(state.sendBuffer, { upstream.address(), upstream.port() });
 }
 
 }
--- a/src/kingcuptraild/packets/balancerstate.cpp
+++ b/src/kingcuptraild/packets/balancerstate.cpp
@@ -9,9 +9,9 @@
     state.network.sendPacket(packet, { asio::ip::address_v4(flow.caller.address), state.role.settings.packets.ingress.port() });
 }
 
-void noteLoad(BalancerState& state, const PeerMessage& message, std::uint32_t sender)
+void recordLoad(BalancerState& state, const PeerMessage& message, std::uint32_t sender)
 {
-    AgentLoad& load = state.loads[sender];
+    AgentLoad& load = state.agentLoads[sender];
     const Millis refusesUntil = load.refusesUntil;
     load = message.load;
     load.heardAt = state.role.clock.now();
--- a/src/kingcuptraild/packets/balancerstate.h
+++ b/src/kingcuptraild/packets/balancerstate.h
@@ -9,7 +9,7 @@
 namespace kingcuptrail {
 
 /// What a balancer did with a caller's packet. Each value has its own counter.
-enum class PacketFate : std::uint8_t {
+enum class CallerPacketOutcome : std::uint8_t {
     Offered,
     Forwarded,
     Probed,
@@ -21,7 +21,7 @@
 };
 
 template <>
-struct EnumNames<PacketFate> {
+struct EnumNames<CallerPacketOutcome> {
     static constexpr std::array<std::string_view, 8> names { "offered", "forwarded", "probed", "waiting", "malformed", "forged", "noView", "searchFull" };
 };
 
@@ -43,11 +43,11 @@
     using PacketRoleState::PacketRoleState;
 
     /// The last known load of each agent, by the agent's address.
-    std::unordered_map<std::uint32_t, AgentLoad> loads;
-    UnresponsiveAgents silent;
+    std::unordered_map<std::uint32_t, AgentLoad> agentLoads;
+    UnresponsiveAgents unresponsiveAgents;
     /// Cache of the agent that holds each flow.
-    std::unordered_map<FlowKey, Holder> holders;
-    EnumCounters<PacketFate> fates;
+    std::unordered_map<FlowKey, CachedHolder> holderCache;
+    EnumCounters<CallerPacketOutcome> packetOutcomes;
     EnumCounters<ResetReason> resets;
     EnumCounters<OpeningRefusal> refusals;
 };
@@ -57,10 +57,10 @@
 void sendReset(BalancerState&, const FlowKey& flow, std::uint32_t sequence, ResetReason reason);
 
 /// Stores the load that an agent's message carries.
-void noteLoad(BalancerState&, const PeerMessage& message, std::uint32_t sender);
+void recordLoad(BalancerState&, const PeerMessage& message, std::uint32_t sender);
 
 /// Copies a packet that has to outlive the receive buffer.
-inline PacketBytes copyOf(std::span<const std::uint8_t> packet)
+inline PacketBytes copyPacket(std::span<const std::uint8_t> packet)
 {
     return { packet.begin(), packet.end() };
 }
--- a/src/kingcuptraild/packets/connectionadmission.cpp
+++ b/src/kingcuptraild/packets/connectionadmission.cpp
@@ -7,7 +7,7 @@
 namespace {
 
     /// How often the queue is checked, in milliseconds: a fraction of the time after which a caller is assumed to have left.
-    constexpr Millis queueInterval = 20;
+    constexpr Millis queueCheckInterval = 20;
 
 }
 
@@ -22,32 +22,32 @@
     DecodeError error = DecodeError::None;
     const auto head = m_state.adapter.decodePacket(message.packet, error);
     if (!head || !isOpening(*head) || flowFromCaller(*head) != message.flow) {
-        m_state.fates.increment(head ? AgentPacketFate::Forged : AgentPacketFate::Malformed);
+        m_state.packetOutcomes.increment(head ? AgentPacketOutcome::Forged : AgentPacketOutcome::Malformed);
         return;
     }
     const Millis now = m_state.role.clock.now();
     const auto known = m_state.flows.flows.find(message.flow);
-    const bool isCopy = known != m_state.flows.flows.end() && known->second.phase != FlowPhase::Closed;
-    if (isCopy) {
+    const bool isRetransmission = known != m_state.flows.flows.end() && known->second.phase != FlowPhase::Closed;
+    if (isRetransmission) {
         admit(message.flow, message.packet, sender, 0);
         return;
     }
     if (recordCopy(m_queue, message.flow, now)) {
-        reply(m_state, sender, { .kind = wire::PeerKind::Admitted, .flow = message.flow });
+        sendReply(m_state, sender, { .kind = wire::PeerKind::Admitted, .flow = message.flow });
         return;
     }
-    const OpeningRefusal refusal = decide(message.flow, message.configVersion, message.needsFreeSlot, now);
+    const OpeningRefusal refusal = checkAdmission(message.flow, message.configVersion, message.needsFreeSlot, now);
     if (refusal == OpeningRefusal::None)
         admit(message.flow, message.packet, sender, 0);
     else if (refusal == OpeningRefusal::Busy && !message.needsFreeSlot)
-        letWait(message, sender, head->acknowledged);
+        enqueueOpening(message, sender, head->acknowledged);
     else
         refuse(message.flow, message.packet, sender, refusal);
 }
 
-OpeningRefusal ConnectionAdmission::decide(const FlowKey& flow, ConfigVersion balancerVersion, bool needsFreeSlot, Millis now)
+OpeningRefusal ConnectionAdmission::checkAdmission(const FlowKey& flow, ConfigVersion balancerVersion, bool needsFreeSlot, Millis now)
 {
-    m_state.gate.mayViewBeStale = m_state.network.isInDoubt();
+    m_state.flowAdmission.mayViewBeStale = m_state.network.mayBeStale();
     const OpeningRequest attempt {
         .address = flow.service,
         .balancerVersion = balancerVersion,
@@ -55,7 +55,7 @@
         .atWork = m_state.flows.atWork,
         .needsFreeSlot = needsFreeSlot,
     };
-    const OpeningRefusal refusal = decideOpening(m_state.gate, m_state.network.routes(), m_state.network.outages(), attempt, now);
+    const OpeningRefusal refusal = decideOpening(m_state.flowAdmission, m_state.network.routes(), m_state.network.outages(), attempt, now);
     if (refusal == OpeningRefusal::None && !acceptsOpening(m_state.health, now))
         return OpeningRefusal::UpstreamFailing;
     return refusal;
@@ -64,19 +64,19 @@
 void ConnectionAdmission::admit(const FlowKey& flow, std::span<const std::uint8_t> packet, std::uint32_t balancer, Millis waited)
 {
     const Millis now = m_state.role.clock.now();
-    logFlowEvent(Event::FlowAdmitted, flow, { { "upstream", m_state.gate.upstream->id }, { "atWork", m_state.flows.atWork }, { "open", m_state.flows.open }, { "waited", static_cast<std::uint64_t>(waited) }, { "reportAge", static_cast<std::uint64_t>(now - m_state.gate.reportedAt) }, { "version", m_state.network.routes().version }, { "outages", m_state.network.outages().revision } });
+    logFlowEvent(Event::FlowAdmitted, flow, { { "upstream", m_state.flowAdmission.upstream->id }, { "atWork", m_state.flows.atWork }, { "open", m_state.flows.open }, { "waited", static_cast<std::uint64_t>(waited) }, { "reportAge", static_cast<std::uint64_t>(now - m_state.flowAdmission.reportedAt) }, { "version", m_state.network.routes().version }, { "outages", m_state.network.outages().revision } });
     beginFlow(m_state.flows, flow, now);
     recordOpening(m_state.health, now);
-    deliver(m_state, packet, indexOf(m_state, balancer));
-    m_state.fates.increment(AgentPacketFate::Delivered);
-    m_waits.record(static_cast<double>(waited));
-    reply(m_state, balancer, { .kind = wire::PeerKind::Admitted, .flow = flow });
+    deliverToUpstream(m_state, packet, markOf(m_state, balancer));
+    m_state.packetOutcomes.increment(AgentPacketOutcome::Delivered);
+    m_waitTimes.record(static_cast<double>(waited));
+    sendReply(m_state, balancer, { .kind = wire::PeerKind::Admitted, .flow = flow });
 }
 
-void ConnectionAdmission::letWait(const PeerMessage& message, std::uint32_t sender, std::uint32_t copies)
+void ConnectionAdmission::enqueueOpening(const PeerMessage& message, std::uint32_t sender, std::uint32_t retransmissions)
 {
     const Millis now = m_state.role.clock.now();
-    const Millis startedAt = now - minOpeningAge(copies);
+    const Millis startedAt = now - minOpeningAge(retransmissions);
     const FlowRoute* route = findRoute(m_state.network.routes(), message.flow.service);
     WaitingOpening opening {
         .flow = message.flow,
@@ -87,13 +87,13 @@
         .balancer = sender,
         .packet = { message.packet.begin(), message.packet.end() },
     };
-    const bool isQueued = enqueue(m_queue, std::move(opening), m_state.gate.upstream->slots);
-    noteWaiting();
+    const bool isQueued = enqueue(m_queue, std::move(opening), m_state.flowAdmission.upstream->slots);
+    updateWaitingCount();
     if (!isQueued) {
         refuse(message.flow, message.packet, sender, OpeningRefusal::Busy);
         return;
     }
-    reply(m_state, sender, { .kind = wire::PeerKind::Admitted, .flow = message.flow });
+    sendReply(m_state, sender, { .kind = wire::PeerKind::Admitted, .flow = message.flow });
     startQueueTimer();
 }
 
@@ -104,7 +104,7 @@
     if (m_isQueueTimerOn)
         return;
     m_isQueueTimerOn = true;
-    m_queueTimer.start(queueInterval, [this] {
+    m_queueTimer.start(queueCheckInterval, [this] {
         m_isQueueTimerOn = false;
         admitWaiting();
         if (!m_queue.waiting.empty())
@@ -120,17 +120,17 @@
     const Millis now = m_state.role.clock.now();
     expireWork(m_state.flows, now);
     const std::vector<WaitingOpening> overdue = removeExpired(m_queue, now);
-    noteWaiting();
+    updateWaitingCount();
     for (const WaitingOpening& expired : overdue)
         refuse(expired.flow, expired.packet, expired.balancer, OpeningRefusal::WaitedTooLong);
     while (const WaitingOpening* next = peekNext(m_queue, now)) {
         // An opening that will miss its latency target anyway gets an idle slot only: queued at the upstream, it would delay
         // openings that can still meet theirs.
-        const OpeningRefusal refusal = decide(next->flow, 0, !isTimely(*next, now), now);
+        const OpeningRefusal refusal = checkAdmission(next->flow, 0, !isTimely(*next, now), now);
         if (refusal == OpeningRefusal::Busy)
             return;
         const auto taken = popNext(m_queue, now);
-        noteWaiting();
+        updateWaitingCount();
         if (refusal == OpeningRefusal::None)
             admit(taken->flow, taken->packet, taken->balancer, now - taken->arrivedAt);
         else
@@ -141,20 +141,20 @@
 void ConnectionAdmission::refuse(const FlowKey& flow, std::span<const std::uint8_t> packet, std::uint32_t balancer, OpeningRefusal refusal)
 {
     m_state.refusals.increment(refusal);
-    m_state.fates.increment(AgentPacketFate::Refused);
+    m_state.packetOutcomes.increment(AgentPacketOutcome::Refused);
     const Millis now = m_state.role.clock.now();
-    logFlowEvent(Event::OpeningRefused, flow, { { "reason", nameOf(refusal) }, { "atWork", m_state.flows.atWork }, { "open", m_state.flows.open }, { "waiting", m_queue.waiting.size() }, { "reportAge", static_cast<std::uint64_t>(now - m_state.gate.reportedAt) }, { "version", m_state.network.routes().version }, { "outages", m_state.network.outages().revision } });
-    reply(m_state, balancer, { .kind = wire::PeerKind::Refused, .flow = flow, .refusal = refusal, .packet = packet });
+    logFlowEvent(Event::OpeningRefused, flow, { { "reason", nameOf(refusal) }, { "atWork", m_state.flows.atWork }, { "open", m_state.flows.open }, { "waiting", m_queue.waiting.size() }, { "reportAge", static_cast<std::uint64_t>(now - m_state.flowAdmission.reportedAt) }, { "version", m_state.network.routes().version }, { "outages", m_state.network.outages().revision } });
+    sendReply(m_state, balancer, { .kind = wire::PeerKind::Refused, .flow = flow, .refusal = refusal, .packet = packet });
 }
 
-void ConnectionAdmission::noteWaiting()
+void ConnectionAdmission::updateWaitingCount()
 {
     m_state.waiting = countTimely(m_queue, m_state.role.clock.now());
 }
 
 void ConnectionAdmission::exposeMetrics(std::string& out) const
 {
-    m_waits.expose(out, "kingcuptrail_opening_wait_milliseconds", "How long admitted openings waited here, in milliseconds.");
+    m_waitTimes.expose(out, "kingcuptrail_opening_wait_milliseconds", "How long admitted openings waited here, in milliseconds.");
 }
 
 }
--- a/src/kingcuptraild/packets/connectionadmission.h
+++ b/src/kingcuptraild/packets/connectionadmission.h
@@ -20,17 +20,17 @@
     void exposeMetrics(std::string& out) const;
 
 private:
-    OpeningRefusal decide(const FlowKey& flow, ConfigVersion balancerVersion, bool needsFreeSlot, Millis now);
+    OpeningRefusal checkAdmission(const FlowKey& flow, ConfigVersion balancerVersion, bool needsFreeSlot, Millis now);
     void admit(const FlowKey& flow, std::span<const std::uint8_t> packet, std::uint32_t balancer, Millis waited);
-    void letWait(const PeerMessage& message, std::uint32_t sender, std::uint32_t copies);
+    void enqueueOpening(const PeerMessage& message, std::uint32_t sender, std::uint32_t retransmissions);
     void startQueueTimer();
-    void noteWaiting();
+    void updateWaitingCount();
 
     AgentState& m_state;
     AdmissionQueue m_queue;
     Delay m_queueTimer;
     bool m_isQueueTimerOn = false;
-    LatencyHistogram m_waits;
+    LatencyHistogram m_waitTimes;
 };
 
 }
--- a/src/kingcuptraild/packets/connectiondispatcher.h
+++ b/src/kingcuptraild/packets/connectiondispatcher.h
@@ -10,30 +10,30 @@
 public:
     explicit ConnectionDispatcher(BalancerState& state);
 
-    /// Handles a caller's opening packet: the first one or a retransmission. `copies` is the number of
+    /// Handles a caller's opening packet: the first one or a retransmission. `retransmissions` is the number of
     /// retransmissions so far.
-    void open(const FlowKey& flow, std::uint32_t copies, std::span<const std::uint8_t> packet);
+    void open(const FlowKey& flow, std::uint32_t retransmissions, std::span<const std::uint8_t> packet);
     /// Handle the answers of agents.
     void handleAdmitted(const PeerMessage& message, std::uint32_t sender);
     void handleRefused(const PeerMessage& message, std::uint32_t sender);
     /// Offers again openings that were not answered in time and openings that all agents refused for a transient reason.
-    void offerAgain(Millis now);
+    void retryOffers(Millis now);
 
     bool isEmpty() const { return m_openings.empty(); }
     void exposeMetrics(std::string& out) const;
 
 private:
-    void offerToNext(const FlowKey& flow, Opening& opening);
-    void offerTo(std::uint32_t agent, const FlowKey& flow, Opening& opening);
-    void offerToWait(const FlowKey& flow, Opening& opening);
-    void finishRefused(const FlowKey& flow, const Opening& opening, ResetReason reason);
-    std::vector<std::uint32_t> agentsFor(const FlowKey& flow, const std::string& service) const;
-    void handleBusy(const FlowKey& flow, Opening& opening, std::uint32_t sender);
+    void offerToNext(const FlowKey& flow, PendingOpening& opening);
+    void offerTo(std::uint32_t agent, const FlowKey& flow, PendingOpening& opening);
+    void offerToLeastLoaded(const FlowKey& flow, PendingOpening& opening);
+    void rejectOpening(const FlowKey& flow, const PendingOpening& opening, ResetReason reason);
+    std::vector<std::uint32_t> rankAgents(const FlowKey& flow, const std::string& service) const;
+    void handleBusyRefusal(const FlowKey& flow, PendingOpening& opening, std::uint32_t sender);
 
     BalancerState& m_state;
-    AgentChoiceOptions m_choice;
-    OfferPolicy m_busyAgents;
-    std::unordered_map<FlowKey, Opening> m_openings;
+    AgentChoiceOptions m_choiceOptions;
+    OfferPolicy m_offerPolicy;
+    std::unordered_map<FlowKey, PendingOpening> m_openings;
     LatencyHistogram m_openingTimes;
 };
 
--- a/src/kingcuptraild/packets/flowholders.h
+++ b/src/kingcuptraild/packets/flowholders.h
@@ -12,9 +12,9 @@
 using PacketBytes = std::vector<std::uint8_t>;
 
 /// An opening packet that is offered to one agent after the other.
-struct Opening {
+struct PendingOpening {
     PacketBytes packet;
-    std::vector<std::uint32_t> tried;
+    std::vector<std::uint32_t> triedAgents;
     /// The agent whose answer is awaited; 0 when there is no agent to offer the opening to.
     std::uint32_t agent = 0;
     Millis startedAt = 0;
@@ -24,34 +24,34 @@
     /// Agents that refused the opening because they had no room.
     std::uint32_t busyAgents = 0;
     /// At least one agent refused for a transient reason.
-    bool mayTryAgain = false;
+    bool hasTransientRefusal = false;
 };
 
 /// Cache entry for the agent that holds a flow. It may be out of date; only the agent itself knows for certain.
-struct Holder {
+struct CachedHolder {
     std::uint32_t agent = 0;
     Millis usedAt = 0;
 };
 
 /// A question to one agent, the delegate, that answers on behalf of all agents of its data centre.
-struct Speaker {
+struct DelegateQuery {
     std::uint32_t address = 0;
     /// The agents that its answer covers. An agent that became known after the question is not among them.
     std::vector<std::uint32_t> members;
 };
 
 /// A search for the holder of a flow and the packets that wait for its end.
-struct WaitingSearch {
+struct PendingSearch {
     HolderSearch search;
     std::vector<PacketBytes> packets;
     /// Questions to delegates that are still unanswered.
-    std::vector<Speaker> speakers;
+    std::vector<DelegateQuery> delegateQueries;
     /// All agents that were asked, directly or through another agent.
     AgentsByDataCentre asked;
     /// Decides which of the unsure agents are probed with the first packet, and when.
     ProbePlan plan;
     /// The time for answers has passed once, and agents that had not answered by then are treated as unsure.
-    bool isOverdue = false;
+    bool hasProbedLateAgents = false;
     /// The number that the caller last acknowledged; a reset needs it.
     std::uint32_t acknowledged = 0;
 };
--- a/src/kingcuptraild/packets/flowlearning.cpp
+++ b/src/kingcuptraild/packets/flowlearning.cpp
@@ -8,7 +8,7 @@
 
     /// Time within which the upstream returns a packet of a flow that it does not hold, in milliseconds. Short, because it
     /// runs on the same host.
-    constexpr Millis returnTime = 12;
+    constexpr Millis returnTimeout = 12;
 
 }
 
@@ -18,20 +18,20 @@
 {
 }
 
-void FlowLearning::ask(const FlowKey& flow, const FlowQuestion& question)
+void FlowLearning::beginCheck(const FlowKey& flow, const PendingFlowCheck& check)
 {
-    m_questions[flow] = question;
+    m_pendingChecks[flow] = check;
     startTimer();
 }
 
-std::optional<FlowQuestion> FlowLearning::take(const FlowKey& flow)
+std::optional<PendingFlowCheck> FlowLearning::finishCheck(const FlowKey& flow)
 {
-    const auto found = m_questions.find(flow);
-    if (found == m_questions.end())
+    const auto found = m_pendingChecks.find(flow);
+    if (found == m_pendingChecks.end())
         return std::nullopt;
-    const FlowQuestion question = found->second;
-    m_questions.erase(found);
-    return question;
+    const PendingFlowCheck check = found->second;
+    m_pendingChecks.erase(found);
+    return check;
 }
 
 // A running timer is not restarted: if each packet restarted it, it would never fire while packets keep coming.
@@ -40,28 +40,28 @@
     if (m_isTimerOn)
         return;
     m_isTimerOn = true;
-    m_timer.start(returnTime, [this] {
+    m_timer.start(returnTimeout, [this] {
         m_isTimerOn = false;
-        settle();
-        if (!m_questions.empty())
+        learnUnreturnedFlows();
+        if (!m_pendingChecks.empty())
             startTimer();
     });
 }
 
 // A packet that was not returned in time belongs to a flow that the upstream holds, provided that an upstream is running:
 // without one, nothing would have returned the packet.
-void FlowLearning::settle()
+void FlowLearning::learnUnreturnedFlows()
 {
     const Millis now = m_state.role.clock.now();
-    const bool isUpstreamThere = m_state.gate.upstream && now - m_state.gate.reportedAt <= m_state.gate.options.reportLimit;
-    for (const auto& [flow, question] : m_questions) {
-        if (now - question.since < returnTime || !isUpstreamThere)
+    const bool isUpstreamAlive = m_state.flowAdmission.upstream && now - m_state.flowAdmission.reportedAt <= m_state.flowAdmission.options.reportLimit;
+    for (const auto& [flow, check] : m_pendingChecks) {
+        if (now - check.since < returnTimeout || !isUpstreamAlive)
             continue;
-        learnFlow(m_state.flows, flow, question.acknowledged, now);
+        learnFlow(m_state.flows, flow, check.acknowledged, now);
         logFlowEvent(Event::FlowLearnt, flow, { { "open", m_state.flows.open } });
-        reply(m_state, question.asker, { .kind = wire::PeerKind::Held, .flow = flow });
+        sendReply(m_state, check.requester, { .kind = wire::PeerKind::Held, .flow = flow });
     }
-    std::erase_if(m_questions, [now](const auto& item) { return now - item.second.since >= returnTime; });
+    std::erase_if(m_pendingChecks, [now](const auto& item) { return now - item.second.since >= returnTimeout; });
 }
 
 }
--- a/src/kingcuptraild/packets/flowlearning.h
+++ b/src/kingcuptraild/packets/flowlearning.h
@@ -10,9 +10,9 @@
 
 /// A caller's packet that was delivered to find out whether the upstream holds the flow, and the process that waits for the
 /// result.
-struct FlowQuestion {
+struct PendingFlowCheck {
     /// A balancer, or a neighbour that asks on behalf of one.
-    std::uint32_t asker = 0;
+    std::uint32_t requester = 0;
     Millis since = 0;
     /// The packet came in a Probe message, so its sender has kept a copy.
     bool isProbe = false;
@@ -26,20 +26,20 @@
     explicit FlowLearning(AgentState& state);
 
     /// Records that a packet of this flow is being delivered to the upstream.
-    void ask(const FlowKey& flow, const FlowQuestion& question);
+    void beginCheck(const FlowKey& flow, const PendingFlowCheck& check);
 
     /// Removes and yields the pending check of a flow, if there is one: the upstream has answered or returned the
     /// packet.
-    std::optional<FlowQuestion> take(const FlowKey& flow);
+    std::optional<PendingFlowCheck> finishCheck(const FlowKey& flow);
 
 private:
     void startTimer();
-    void settle();
+    void learnUnreturnedFlows();
 
     AgentState& m_state;
     Delay m_timer;
     bool m_isTimerOn = false;
-    std::unordered_map<FlowKey, FlowQuestion> m_questions;
+    std::unordered_map<FlowKey, PendingFlowCheck> m_pendingChecks;
 };
 
 }
--- a/src/kingcuptraild/packets/holderfinder.cpp
+++ b/src/kingcuptraild/packets/holderfinder.cpp
@@ -10,21 +10,21 @@
 
     /// Time limit of a search, in milliseconds. The caller retransmits after 200 ms at the earliest, which starts a new
     /// search.
-    constexpr Millis searchLimit = 190;
+    constexpr Millis searchTimeout = 190;
     /// Time limit of a search that waits for the first known agent, and of one that every agent has denied and that waits for
     /// a peer to confirm the directory, in milliseconds: several rounds of gossip. Waiting costs memory only; if the
     /// search ended, the caller would get its reset with its next packet, up to 1.6 s later.
-    constexpr Millis newsLimit = 1000;
+    constexpr Millis gossipWaitTimeout = 1000;
     /// Searches that are started in one tick when the first agents become known, so that a backlog does not delay the packets
     /// of a balancer on a small host.
-    constexpr std::size_t searchesBegunInTurn = 16;
+    constexpr std::size_t maxSearchesBegunPerTick = 16;
     /// How long a delegate may take to answer, in milliseconds: several round trips.
-    constexpr Millis speakerLimit = 30;
+    constexpr Millis delegateTimeout = 30;
     /// A tick that comes this long after the previous one shows that the process is behind with its work, in milliseconds:
     /// twice the 20 ms between ticks.
-    constexpr Millis lateTurn = 40;
+    constexpr Millis lateTickThreshold = 40;
     /// Packets of one flow that may wait for a search: the number that a caller has in flight.
-    constexpr std::size_t waitingPackets = 16;
+    constexpr std::size_t maxPacketsPerSearch = 16;
     /// Concurrent searches. While there are so many, further packets are dropped. With 1,200 bytes a packet and a few
     /// packets a flow, this bounds the memory at about 10 MB.
     constexpr std::size_t maxSearches = 4096;
@@ -41,35 +41,35 @@
 void HolderFinder::search(const FlowKey& flow, const PacketHeader& head, std::span<const std::uint8_t> packet)
 {
     if (m_searches.size() >= maxSearches) {
-        m_state.fates.increment(PacketFate::SearchFull);
+        m_state.packetOutcomes.increment(CallerPacketOutcome::SearchFull);
         return;
     }
     const auto [found, isNew] = m_searches.try_emplace(flow);
-    WaitingSearch& waiting = found->second;
+    PendingSearch& waiting = found->second;
     waiting.acknowledged = head.acknowledged;
-    if (waiting.packets.size() < waitingPackets)
-        waiting.packets.push_back(copyOf(packet));
-    m_state.fates.increment(PacketFate::Waiting);
+    if (waiting.packets.size() < maxPacketsPerSearch)
+        waiting.packets.push_back(copyPacket(packet));
+    m_state.packetOutcomes.increment(CallerPacketOutcome::Waiting);
     if (!isNew)
         return;
     waiting.plan.ownDataCentre = m_state.role.settings.dataCentre;
     begin(flow, waiting);
 }
 
-void HolderFinder::begin(const FlowKey& flow, WaitingSearch& waiting)
+void HolderFinder::begin(const FlowKey& flow, PendingSearch& waiting)
 {
-    const AgentsByDataCentre agents = holdersToAsk(serviceForFlow(m_state.network.routes(), flow));
+    const AgentsByDataCentre agents = agentsToQuery(serviceForFlow(m_state.network.routes(), flow));
     waiting.search = beginSearch(addressesOf(agents), m_state.role.clock.now());
-    ask(flow, waiting, agents);
+    queryAgents(flow, waiting, agents);
 }
 
 // Starts the searches that had no agent to query. After a loss of power, callers' packets arrive before any agent is known. If
 // such a search ended, it would start again only with the caller's next retransmission, up to 1.6 s later.
-void HolderFinder::beginLate()
+void HolderFinder::beginDeferredSearches()
 {
     std::size_t begun = 0;
     for (auto& [flow, waiting] : m_searches) {
-        if (!waiting.search.asked.empty() || begun == searchesBegunInTurn)
+        if (!waiting.search.asked.empty() || begun == maxSearchesBegunPerTick)
             continue;
         begin(flow, waiting);
         if (waiting.search.asked.empty())
@@ -83,7 +83,7 @@
     AgentsByDataCentre agents;
     const Millis now = m_state.role.clock.now();
     for (const auto& [name, entry] : m_state.network.directory().entries) {
-        const bool mayHold = mayHoldFlows(entry) && !isPresumedGone(m_state.silent, entry.address, now);
+        const bool mayHold = mayHoldFlows(entry) && !isPresumedGone(m_state.unresponsiveAgents, entry.address, now);
         if (mayHold && (!service || entry.service == *service))
             agents[entry.dataCentre].push_back(entry.address);
     }
@@ -92,25 +92,25 @@
 
 // A delegate answers for the agents of all services in its data centre, so the list of a data centre that is large enough
 // for a delegate holds all of its agents.
-AgentsByDataCentre HolderFinder::holdersToAsk(const std::string* service) const
+AgentsByDataCentre HolderFinder::agentsToQuery(const std::string* service) const
 {
     AgentsByDataCentre agents = possibleHolders(service);
-    AgentsByDataCentre everybody = possibleHolders(nullptr);
+    AgentsByDataCentre allAgents = possibleHolders(nullptr);
     for (auto& [dataCentre, members] : agents) {
         if (members.size() >= ProbePlanOptions {}.minAgentsForForwarding)
-            members = std::move(everybody.at(dataCentre));
+            members = std::move(allAgents.at(dataCentre));
     }
     return agents;
 }
 
 // In a data centre with enough agents the delegate is asked; in the others each agent is asked directly.
-void HolderFinder::ask(const FlowKey& flow, WaitingSearch& waiting, const AgentsByDataCentre& agents)
+void HolderFinder::queryAgents(const FlowKey& flow, PendingSearch& waiting, const AgentsByDataCentre& agents)
 {
     for (const auto& [dataCentre, members] : agents) {
         if (members.size() < waiting.plan.options.minAgentsForForwarding)
-            askDirectly(flow, waiting, members);
+            queryDirectly(flow, waiting, members);
         else
-            askSpeaker(flow, waiting, dataCentre, members, {});
+            queryDelegate(flow, waiting, dataCentre, members, {});
         std::vector<std::uint32_t>& asked = waiting.asked[dataCentre];
         asked.insert(asked.end(), members.begin(), members.end());
     }
@@ -118,72 +118,72 @@
 
 // The agents of a data centre that have not answered for so long that searches no longer wait for them. They are excluded from
 // the question, so that the delegate does not wait for them either.
-std::vector<std::uint32_t> HolderFinder::givenUpIn(const std::string& dataCentre) const
+std::vector<std::uint32_t> HolderFinder::agentsPresumedGoneIn(const std::string& dataCentre) const
 {
     std::vector<std::uint32_t> agents;
-    for (const auto& [address, since] : m_state.silent.silentSince) {
+    for (const auto& [address, since] : m_state.unresponsiveAgents.silentSince) {
         const PeerEntry* entry = findByAddress(m_state.network.directory(), address);
-        if (entry && entry->dataCentre == dataCentre && isPresumedGone(m_state.silent, address, m_state.role.clock.now()))
+        if (entry && entry->dataCentre == dataCentre && isPresumedGone(m_state.unresponsiveAgents, address, m_state.role.clock.now()))
             agents.push_back(address);
     }
     return agents;
 }
 
 // When `packet` is not empty, the delegate probes its neighbours with it.
-void HolderFinder::askSpeaker(const FlowKey& flow, WaitingSearch& waiting, const std::string& dataCentre, std::span<const std::uint32_t> members, std::span<const std::uint8_t> packet)
+void HolderFinder::queryDelegate(const FlowKey& flow, PendingSearch& waiting, const std::string& dataCentre, std::span<const std::uint32_t> members, std::span<const std::uint8_t> packet)
 {
-    const std::uint32_t speaker = nextSpeaker(members);
-    std::vector<std::uint32_t> excluded = givenUpIn(dataCentre);
+    const std::uint32_t delegate = nextDelegate(members);
+    std::vector<std::uint32_t> excluded = agentsPresumedGoneIn(dataCentre);
     const std::uint64_t digest = agentsDigestOf(m_state.network.directory(), dataCentre, excluded);
-    m_state.network.send(speaker, { .kind = wire::PeerKind::FindNear, .flow = flow, .configVersion = m_state.network.routes().version, .acknowledged = waiting.acknowledged, .digest = digest, .excluded = std::move(excluded), .packet = packet });
-    waiting.speakers.push_back({ .address = speaker, .members = { members.begin(), members.end() } });
+    m_state.network.send(delegate, { .kind = wire::PeerKind::FindNear, .flow = flow, .configVersion = m_state.network.routes().version, .acknowledged = waiting.acknowledged, .digest = digest, .excluded = std::move(excluded), .packet = packet });
+    waiting.delegateQueries.push_back({ .address = delegate, .members = { members.begin(), members.end() } });
 }
 
 // Chooses delegates round-robin, so that the next attempt of a search that was left unanswered goes to another agent. Agents
 // with unanswered messages are skipped while there are others.
-std::uint32_t HolderFinder::nextSpeaker(std::span<const std::uint32_t> members)
+std::uint32_t HolderFinder::nextDelegate(std::span<const std::uint32_t> members)
 {
-    const std::size_t first = m_speakerTurn++;
+    const std::size_t first = m_delegateIndex++;
     for (std::size_t step = 0; step < members.size(); ++step) {
         const std::uint32_t member = members[(first + step) % members.size()];
-        const auto load = m_state.loads.find(member);
-        const bool isHeard = load == m_state.loads.end() || load->second.unanswered == 0;
-        if (isHeard && !m_state.silent.silentSince.contains(member))
+        const auto load = m_state.agentLoads.find(member);
+        const bool isResponsive = load == m_state.agentLoads.end() || load->second.unanswered == 0;
+        if (isResponsive && !m_state.unresponsiveAgents.silentSince.contains(member))
             return member;
     }
     return members[first % members.size()];
 }
 
-void HolderFinder::handleNearAnswer(const PeerMessage& message, std::uint32_t sender)
+void HolderFinder::handleDelegatedAnswer(const PeerMessage& message, std::uint32_t sender)
 {
     const auto found = m_searches.find(message.flow);
     if (found == m_searches.end())
         return;
-    WaitingSearch& waiting = found->second;
+    PendingSearch& waiting = found->second;
     if (message.kind == wire::PeerKind::HeldNear) {
-        settleSearch(message.flow, recordAnswer(waiting.search, message.holder, HolderAnswer::Held));
+        updateSearch(message.flow, recordAnswer(waiting.search, message.holder, HolderAnswer::Held));
         return;
     }
-    const auto speaker = std::ranges::find(waiting.speakers, sender, &Speaker::address);
-    if (speaker == waiting.speakers.end())
+    const auto delegate = std::ranges::find(waiting.delegateQueries, sender, &DelegateQuery::address);
+    if (delegate == waiting.delegateQueries.end())
         return;
-    const std::vector<std::uint32_t> members = std::move(speaker->members);
-    waiting.speakers.erase(speaker);
+    const std::vector<std::uint32_t> members = std::move(delegate->members);
+    waiting.delegateQueries.erase(delegate);
     if (message.kind == wire::PeerKind::UnsureNear) {
-        takeNearUnsure(message, waiting, members);
+        handleUnsureDelegate(message, waiting, members);
         return;
     }
     SearchState state = SearchState::Asking;
     for (const std::uint32_t member : members)
         state = recordAnswer(waiting.search, member, HolderAnswer::NotHeld);
     if (state == SearchState::Asking)
-        probe(message.flow, waiting, false);
-    settleSearch(message.flow, state);
+        sendProbes(message.flow, waiting, false);
+    updateSearch(message.flow, state);
 }
 
 // Agents that the delegate did not report on are asked directly. Agents that only the delegate knows are added to the search,
 // so that they have to deny the flow as well.
-void HolderFinder::takeNearUnsure(const PeerMessage& message, WaitingSearch& waiting, std::span<const std::uint32_t> members)
+void HolderFinder::handleUnsureDelegate(const PeerMessage& message, PendingSearch& waiting, std::span<const std::uint32_t> members)
 {
     const DelegatedAnswer answer = classifyDelegatedAnswer(waiting.search, members, message.denied, message.excluded);
     addMissingAgents(waiting.search, message.excluded);
@@ -191,20 +191,20 @@
     for (const std::uint32_t agent : answer.denied)
         state = recordAnswer(waiting.search, agent, HolderAnswer::NotHeld);
     if (state == SearchState::HeldByNobody) {
-        settleSearch(message.flow, state);
+        updateSearch(message.flow, state);
         return;
     }
     if (answer.unknown.size() < waiting.plan.options.minAgentsForForwarding) {
-        askDirectly(message.flow, waiting, answer.unknown);
-        takeUnsure(message.flow, waiting, answer.open);
+        queryDirectly(message.flow, waiting, answer.unknown);
+        markUnsureAndProbe(message.flow, waiting, answer.open);
         return;
     }
-    takeUnsure(message.flow, waiting, awaitedOf(waiting.search, members));
+    markUnsureAndProbe(message.flow, waiting, awaitedOf(waiting.search, members));
 }
 
 // Marks agents as unsure and sends the probes that are due. A large data centre gets the packet once, and one agent there
 // copies it to the others.
-void HolderFinder::takeUnsure(const FlowKey& flow, WaitingSearch& waiting, std::span<const std::uint32_t> agents)
+void HolderFinder::markUnsureAndProbe(const FlowKey& flow, PendingSearch& waiting, std::span<const std::uint32_t> agents)
 {
     const std::string* service = serviceForFlow(m_state.network.routes(), flow);
     for (const std::uint32_t agent : agents) {
@@ -214,23 +214,23 @@
         recordAnswer(waiting.search, agent, HolderAnswer::Unsure);
         addUnsureAgent(waiting.plan, { .address = agent, .dataCentre = entry->dataCentre, .isOfService = service && entry->service == *service });
     }
-    probe(flow, waiting, false);
+    sendProbes(flow, waiting, false);
 }
 
 // One packet is enough to find the holder, so the other packets of the flow wait for the answer.
-void HolderFinder::probe(const FlowKey& flow, WaitingSearch& waiting, bool isNearOverdue)
+void HolderFinder::sendProbes(const FlowKey& flow, PendingSearch& waiting, bool isNearOverdue)
 {
     const PacketBytes& packet = waiting.packets.front();
     for (const ProbeGroup& group : nextProbes(waiting.plan, waiting.search, waiting.asked, isNearOverdue)) {
         if (group.isForwarded)
-            askSpeaker(flow, waiting, group.dataCentre, group.members, packet);
+            queryDelegate(flow, waiting, group.dataCentre, group.members, packet);
         else
             m_state.network.sendToAll(group.members, { .kind = wire::PeerKind::Probe, .flow = flow, .configVersion = m_state.network.routes().version, .packet = packet });
-        m_state.fates.increment(PacketFate::Probed, group.isForwarded ? 1 : group.members.size());
+        m_state.packetOutcomes.increment(CallerPacketOutcome::Probed, group.isForwarded ? 1 : group.members.size());
     }
 }
 
-void HolderFinder::askDirectly(const FlowKey& flow, const WaitingSearch& waiting, std::span<const std::uint32_t> agents)
+void HolderFinder::queryDirectly(const FlowKey& flow, const PendingSearch& waiting, std::span<const std::uint32_t> agents)
 {
     m_state.network.sendToAll(agents, { .kind = wire::PeerKind::Find, .flow = flow, .configVersion = m_state.network.routes().version, .acknowledged = waiting.acknowledged });
 }
@@ -238,42 +238,42 @@
 // When a delegate or one of its neighbours does not answer, another agent there gets the packet, so that one unresponsive
 // agent cannot hide the holder of a flow. Asking every agent directly instead would take 40 messages a search, on balancers
 // with small hosts that are already behind.
-void HolderFinder::probeOverdue(Millis now)
+void HolderFinder::probeLateAgents(Millis now)
 {
     // When this process itself is late, the answers may be waiting in its socket.
-    const bool isLateItself = now - std::exchange(m_turnedAt, now) > lateTurn;
-    if (isLateItself)
+    const bool isProcessLate = now - std::exchange(m_lastTickAt, now) > lateTickThreshold;
+    if (isProcessLate)
         return;
     for (auto& [flow, waiting] : m_searches) {
-        if (waiting.isOverdue || now - waiting.search.startedAt < speakerLimit)
+        if (waiting.hasProbedLateAgents || now - waiting.search.startedAt < delegateTimeout)
             continue;
-        waiting.isOverdue = true;
+        waiting.hasProbedLateAgents = true;
         std::vector<std::uint32_t> overdue;
-        for (const Speaker& speaker : waiting.speakers) {
-            const std::vector<std::uint32_t> members = awaitedOf(waiting.search, speaker.members);
+        for (const DelegateQuery& delegate : waiting.delegateQueries) {
+            const std::vector<std::uint32_t> members = awaitedOf(waiting.search, delegate.members);
             overdue.insert(overdue.end(), members.begin(), members.end());
         }
         if (!overdue.empty())
-            takeUnsure(flow, waiting, overdue);
+            markUnsureAndProbe(flow, waiting, overdue);
         if (!waiting.plan.waiting.empty())
-            probe(flow, waiting, true);
+            sendProbes(flow, waiting, true);
     }
 }
 
-void HolderFinder::settleSearch(const FlowKey& flow, SearchState state)
+void HolderFinder::updateSearch(const FlowKey& flow, SearchState state)
 {
     const auto found = m_searches.find(flow);
     if (found == m_searches.end() || state == SearchState::Asking)
         return;
-    WaitingSearch& waiting = found->second;
+    PendingSearch& waiting = found->second;
     if (state == SearchState::Found) {
         const Millis now = m_state.role.clock.now();
-        m_state.holders[flow] = { .agent = waiting.search.holder, .usedAt = now };
+        m_state.holderCache[flow] = { .agent = waiting.search.holder, .usedAt = now };
         logFlowEvent(Event::HolderFound, flow, { { "agent", addressText(waiting.search.holder) }, { "milliseconds", static_cast<std::uint64_t>(now - waiting.search.startedAt) } });
         // A holder that was probed already has the first packet.
         for (std::size_t next = wasProbed(waiting.plan, waiting.search.holder) ? 1 : 0; next < waiting.packets.size(); ++next)
             m_state.network.send(waiting.search.holder, { .kind = wire::PeerKind::Forward, .flow = flow, .configVersion = m_state.network.routes().version, .packet = waiting.packets[next] });
-        m_searchEnds.increment(state);
+        m_searchOutcomes.increment(state);
         m_searches.erase(found);
         return;
     }
@@ -282,22 +282,22 @@
     const AgentsByDataCentre known = possibleHolders(nullptr);
     if (const auto missing = addMissingAgents(waiting.search, addressesOf(known)); !missing.empty()) {
         waiting.search.startedAt = m_state.role.clock.now();
-        ask(flow, waiting, filterAgents(known, missing));
+        queryAgents(flow, waiting, filterAgents(known, missing));
         return;
     }
     // The periodic check repeats this until a peer has confirmed the directory.
-    if (!canBeCertain())
+    if (!isDirectoryComplete())
         return;
     logFlowEvent(Event::FlowLost, flow, { { "directory", m_state.network.directory().entries.size() }, { "milliseconds", static_cast<std::uint64_t>(m_state.role.clock.now() - waiting.search.startedAt) } });
     sendReset(m_state, flow, waiting.acknowledged, ResetReason::HeldByNobody);
-    m_searchEnds.increment(state);
+    m_searchOutcomes.increment(state);
     m_searches.erase(found);
 }
 
 // Ends the searches that every agent has denied and that only waited for a peer to confirm the directory.
-void HolderFinder::settleConfirmed()
+void HolderFinder::endConfirmedSearches()
 {
-    if (!canBeCertain())
+    if (!isDirectoryComplete())
         return;
     std::vector<FlowKey> settled;
     for (const auto& [flow, waiting] : m_searches) {
@@ -305,33 +305,33 @@
             settled.push_back(flow);
     }
     for (const FlowKey& flow : settled)
-        settleSearch(flow, SearchState::HeldByNobody);
+        updateSearch(flow, SearchState::HeldByNobody);
 }
 
-bool HolderFinder::isOver(const HolderSearch& search, Millis now)
+bool HolderFinder::hasTimedOut(const HolderSearch& search, Millis now)
 {
-    const bool isWaitingForNews = search.state == SearchState::HeldByNobody || search.asked.empty();
-    return now - search.startedAt > (isWaitingForNews ? newsLimit : searchLimit);
+    const bool isWaitingForPeers = search.state == SearchState::HeldByNobody || search.asked.empty();
+    return now - search.startedAt > (isWaitingForPeers ? gossipWaitTimeout : searchTimeout);
 }
 
 // A balancer with an incomplete directory could declare a flow lost that another balancer opened at an agent that this one
 // does not know. The directory counts as complete while peers report the same agents.
-bool HolderFinder::canBeCertain() const
+bool HolderFinder::isDirectoryComplete() const
 {
     return m_state.network.isDirectoryConfirmed();
 }
 
 void HolderFinder::handleHolderAnswer(const PeerMessage& message, std::uint32_t sender)
 {
-    if (const auto load = m_state.loads.find(sender); load != m_state.loads.end())
+    if (const auto load = m_state.agentLoads.find(sender); load != m_state.agentLoads.end())
         load->second.unanswered = 0;
     const HolderAnswer answer = holderAnswerOf(message.kind);
     const auto found = m_searches.find(message.flow);
     if (answer == HolderAnswer::NotHeld) {
-        const auto holder = m_state.holders.find(message.flow);
-        const bool wasCached = holder != m_state.holders.end() && holder->second.agent == sender;
+        const auto holder = m_state.holderCache.find(message.flow);
+        const bool wasCached = holder != m_state.holderCache.end() && holder->second.agent == sender;
         if (wasCached)
-            m_state.holders.erase(holder);
+            m_state.holderCache.erase(holder);
         // The cached holder has sent the packet back, so a new search starts with it.
         if (wasCached && found == m_searches.end() && !message.packet.empty()) {
             DecodeError error = DecodeError::None;
@@ -346,22 +346,22 @@
     if (state == SearchState::Asking) {
         const std::array<std::uint32_t, 1> one { sender };
         if (answer == HolderAnswer::Unsure)
-            takeUnsure(message.flow, found->second, one);
+            markUnsureAndProbe(message.flow, found->second, one);
         else
-            probe(message.flow, found->second, false);
+            sendProbes(message.flow, found->second, false);
     }
-    settleSearch(message.flow, state);
+    updateSearch(message.flow, state);
 }
 
-void HolderFinder::turn(Millis now)
+void HolderFinder::tick(Millis now)
 {
-    beginLate();
-    probeOverdue(now);
-    settleConfirmed();
+    beginDeferredSearches();
+    probeLateAgents(now);
+    endConfirmedSearches();
     std::erase_if(m_searches, [&](const auto& item) {
-        const bool isEnded = isOver(item.second.search, now);
+        const bool isEnded = hasTimedOut(item.second.search, now);
         if (isEnded)
-            endUncertain(item.first, item.second.search, now);
+            endUncertainSearch(item.first, item.second.search, now);
         return isEnded;
     });
 }
@@ -369,19 +369,19 @@
 // The result is unknown, so the caller gets no reset: it retransmits, and the next search may find the holder. Agents that
 // did not answer are recorded as unresponsive, since their hosts may be gone; the next message of a running agent clears the
 // record.
-void HolderFinder::endUncertain(const FlowKey& flow, const HolderSearch& search, Millis now)
+void HolderFinder::endUncertainSearch(const FlowKey& flow, const HolderSearch& search, Millis now)
 {
     const std::vector<std::uint32_t> unanswered = agentsWithoutDenial(search);
     for (const std::uint32_t agent : unanswered)
-        recordUnanswered(m_state.silent, agent, search.startedAt);
-    m_searchEnds.increment(SearchState::Asking);
+        recordUnanswered(m_state.unresponsiveAgents, agent, search.startedAt);
+    m_searchOutcomes.increment(SearchState::Asking);
     const std::uint32_t waitsFor = unanswered.empty() ? 0 : unanswered.front();
-    logFlowEvent(Event::SearchUncertain, flow, { { "silent", search.awaited.size() }, { "unsure", search.unsure.size() }, { "waitsFor", addressText(waitsFor) }, { "directoryConfirmed", canBeCertain() ? "yes" : "no" }, { "milliseconds", static_cast<std::uint64_t>(now - search.startedAt) } });
+    logFlowEvent(Event::SearchUncertain, flow, { { "silent", search.awaited.size() }, { "unsure", search.unsure.size() }, { "waitsFor", addressText(waitsFor) }, { "directoryConfirmed", isDirectoryComplete() ? "yes" : "no" }, { "milliseconds", static_cast<std::uint64_t>(now - search.startedAt) } });
 }
 
 void HolderFinder::exposeMetrics(std::string& out) const
 {
-    exposeCounters(out, "kingcuptrail_holder_searches_total", "Searches for the holder of a flow, by how they ended; asking: out of time.", m_searchEnds);
+    exposeCounters(out, "kingcuptrail_holder_searches_total", "Searches for the holder of a flow, by how they ended; asking: out of time.", m_searchOutcomes);
 }
 
 }
--- a/src/kingcuptraild/packets/neighboursearches.cpp
+++ b/src/kingcuptraild/packets/neighboursearches.cpp
@@ -8,9 +8,9 @@
 namespace {
 
     /// Time limit of a search among neighbours, in milliseconds. The balancer probes agents without an answer long before.
-    constexpr Millis nearSearchLimit = 100;
+    constexpr Millis neighbourSearchTimeout = 100;
     /// The most agents that an answer may name, so that it fits into one datagram.
-    constexpr std::size_t mostNamed = 250;
+    constexpr std::size_t maxAgentsInAnswer = 250;
 
 }
 
@@ -32,25 +32,25 @@
     const Millis now = m_state.role.clock.now();
     const HolderAnswer own = answerHolderQuery(m_state.flows, message.flow, message.acknowledged, now);
     if (own == HolderAnswer::Held) {
-        reply(m_state, sender, { .kind = wire::PeerKind::HeldNear, .flow = message.flow, .holder = m_state.self.address });
+        sendReply(m_state, sender, { .kind = wire::PeerKind::HeldNear, .flow = message.flow, .holder = m_state.self.address });
         return;
     }
     if (m_searches.contains(message.flow)) {
-        reply(m_state, sender, { .kind = wire::PeerKind::UnsureNear, .flow = message.flow });
+        sendReply(m_state, sender, { .kind = wire::PeerKind::UnsureNear, .flow = message.flow });
         return;
     }
     const bool isProbe = !message.packet.empty();
-    std::vector<std::uint32_t> toAsk = neighbours(message.excluded);
+    std::vector<std::uint32_t> agentsToAsk = neighbours(message.excluded);
     // This agent probes its own upstream as well.
     if (isProbe && own == HolderAnswer::Unsure)
-        toAsk.push_back(m_state.network.ownAddress());
-    const bool isSameList = message.digest == agentsDigestOf(m_state.network.directory(), m_state.role.settings.dataCentre, message.excluded);
-    if (!isSameList)
+        agentsToAsk.push_back(m_state.network.ownAddress());
+    const bool isSameDirectory = message.digest == agentsDigestOf(m_state.network.directory(), m_state.role.settings.dataCentre, message.excluded);
+    if (!isSameDirectory)
         m_state.network.compareDirectory(sender);
-    m_state.network.sendToAll(toAsk, { .kind = isProbe ? wire::PeerKind::Probe : wire::PeerKind::Find, .flow = message.flow, .configVersion = m_state.network.routes().version, .acknowledged = message.acknowledged, .packet = message.packet });
-    const bool isAlone = toAsk.empty();
-    m_searches[message.flow] = { .balancer = sender, .isSameList = isSameList, .hasDenied = own == HolderAnswer::NotHeld, .search = beginSearch(std::move(toAsk), now) };
-    if (isAlone)
+    m_state.network.sendToAll(agentsToAsk, { .kind = isProbe ? wire::PeerKind::Probe : wire::PeerKind::Find, .flow = message.flow, .configVersion = m_state.network.routes().version, .acknowledged = message.acknowledged, .packet = message.packet });
+    const bool hasAskedNobody = agentsToAsk.empty();
+    m_searches[message.flow] = { .balancer = sender, .isSameDirectory = isSameDirectory, .hasDenied = own == HolderAnswer::NotHeld, .search = beginSearch(std::move(agentsToAsk), now) };
+    if (hasAskedNobody)
         finish(message.flow);
 }
 
@@ -80,34 +80,34 @@
 void NeighbourSearches::finish(const FlowKey& flow)
 {
     const auto found = m_searches.find(flow);
-    const NearSearch& near = found->second;
-    DelegatedAnswer answer = answerOf(near);
-    if (near.search.state == SearchState::Found)
-        reply(m_state, near.balancer, { .kind = wire::PeerKind::HeldNear, .flow = flow, .holder = near.search.holder });
-    else if (answer.open.empty() && near.isSameList)
-        reply(m_state, near.balancer, { .kind = wire::PeerKind::NotHeldNear, .flow = flow });
+    const DelegatedSearch& delegated = found->second;
+    DelegatedAnswer answer = summarise(delegated);
+    if (delegated.search.state == SearchState::Found)
+        sendReply(m_state, delegated.balancer, { .kind = wire::PeerKind::HeldNear, .flow = flow, .holder = delegated.search.holder });
+    else if (answer.open.empty() && delegated.isSameDirectory)
+        sendReply(m_state, delegated.balancer, { .kind = wire::PeerKind::NotHeldNear, .flow = flow });
     else
-        replyUnsure(near.balancer, flow, std::move(answer));
+        replyUnsure(delegated.balancer, flow, std::move(answer));
     m_searches.erase(found);
 }
 
 void NeighbourSearches::replyUnsure(std::uint32_t balancer, const FlowKey& flow, DelegatedAnswer answer)
 {
-    if (answer.denied.size() + answer.open.size() > mostNamed)
+    if (answer.denied.size() + answer.open.size() > maxAgentsInAnswer)
         answer = {};
-    reply(m_state, balancer, { .kind = wire::PeerKind::UnsureNear, .flow = flow, .excluded = std::move(answer.open), .denied = std::move(answer.denied) });
+    sendReply(m_state, balancer, { .kind = wire::PeerKind::UnsureNear, .flow = flow, .excluded = std::move(answer.open), .denied = std::move(answer.denied) });
 }
 
 // The agents that denied the flow and the agents that could not tell or did not answer, including this agent.
-DelegatedAnswer NeighbourSearches::answerOf(const NearSearch& near) const
+DelegatedAnswer NeighbourSearches::summarise(const DelegatedSearch& delegated) const
 {
-    DelegatedAnswer answer { .open = agentsWithoutDenial(near.search) };
+    DelegatedAnswer answer { .open = agentsWithoutDenial(delegated.search) };
     const auto isOpen = [&answer](std::uint32_t agent) { return std::ranges::find(answer.open, agent) != answer.open.end(); };
-    std::ranges::copy_if(near.search.asked, std::back_inserter(answer.denied), std::not_fn(isOpen));
+    std::ranges::copy_if(delegated.search.asked, std::back_inserter(answer.denied), std::not_fn(isOpen));
     const std::uint32_t self = m_state.network.ownAddress();
-    const bool isAskedItself = std::ranges::find(near.search.asked, self) != near.search.asked.end();
-    if (!isAskedItself)
-        (near.hasDenied ? answer.denied : answer.open).push_back(self);
+    const bool hasProbedItself = std::ranges::find(delegated.search.asked, self) != delegated.search.asked.end();
+    if (!hasProbedItself)
+        (delegated.hasDenied ? answer.denied : answer.open).push_back(self);
     return answer;
 }
 
@@ -115,8 +115,8 @@
 void NeighbourSearches::expire(Millis now)
 {
     std::vector<FlowKey> overdue;
-    for (const auto& [flow, near] : m_searches) {
-        if (now - near.search.startedAt > nearSearchLimit)
+    for (const auto& [flow, delegated] : m_searches) {
+        if (now - delegated.search.startedAt > neighbourSearchTimeout)
             overdue.push_back(flow);
     }
     for (const FlowKey& flow : overdue)
--- a/src/kingcuptraild/packets/neighboursearches.h
+++ b/src/kingcuptraild/packets/neighboursearches.h
@@ -18,10 +18,10 @@
     void expire(Millis now);
 
 private:
-    struct NearSearch {
+    struct DelegatedSearch {
         std::uint32_t balancer = 0;
         /// The balancer and this agent know the same agents in this data centre.
-        bool isSameList = false;
+        bool isSameDirectory = false;
         /// This agent itself does not hold the flow.
         bool hasDenied = false;
         HolderSearch search;
@@ -29,11 +29,11 @@
 
     std::vector<std::uint32_t> neighbours(std::span<const std::uint32_t> excluded) const;
     void finish(const FlowKey& flow);
-    DelegatedAnswer answerOf(const NearSearch& near) const;
+    DelegatedAnswer summarise(const DelegatedSearch& near) const;
     void replyUnsure(std::uint32_t balancer, const FlowKey& flow, DelegatedAnswer answer);
 
     AgentState& m_state;
-    std::unordered_map<FlowKey, NearSearch> m_searches;
+    std::unordered_map<FlowKey, DelegatedSearch> m_searches;
 };
 
 }
--- a/src/kingcuptraild/packets/packetagent.h
+++ b/src/kingcuptraild/packets/packetagent.h
@@ -6,7 +6,7 @@
 #include "kingcuptraild/role.h"
 #include "neighboursearches.h"
 #include "storefollower.h"
-#include "upstreamcontact.h"
+#include "upstreamconnectcheck.h"
 
 namespace kingcuptrail {
 
@@ -27,24 +27,24 @@
     void handleFind(const PeerMessage& message, std::uint32_t sender);
 
     void handleUpstreamDatagram(std::span<std::uint8_t> packet);
-    void noteHealth(const UpstreamPacketEffect& news, Millis now);
-    void reviewHealth(Millis now);
+    void updateHealth(const UpstreamPacketEffect& news, Millis now);
+    void checkUnansweredRequests(Millis now);
     void handleReturned(const FlowKey& flow, std::span<std::uint8_t> packet, const PacketHeader& head);
 
-    HttpResponse handleUpstreamCall(const HttpRequest& request);
+    HttpResponse handleUpstreamRequest(const HttpRequest& request);
     void handleReport(const UpstreamReport& report);
     void resetLostFlows();
-    void lookForUpstream(Millis now);
+    void checkUpstreamPresence(Millis now);
     void withdrawFormerEntry();
     const PeerEntry& withdraw(PeerEntry entry, std::function<void()> done);
     void handleOutages(const std::vector<std::string>& returned);
     void announceState();
 
-    void turn();
-    void tellLoad(Millis now);
-    void followStoreIfAlone(Millis now);
+    void tick();
+    void sendLoad(Millis now);
+    void followStoreIfIsolated(Millis now);
     bool isServingNow() const;
-    bool isUpstreamOver(Millis now) const;
+    bool isUpstreamGone(Millis now) const;
     PeerEntry lastEntry() const;
 
     AgentState m_state;
@@ -54,19 +54,19 @@
     AgentAnnouncement m_announcement;
     std::unique_ptr<StoreFollower> m_store;
     std::unique_ptr<DatagramSocket> m_outbound;
-    UntrackedFlows m_former;
-    UpstreamContact m_contact;
+    UntrackedFlows m_untrackedFlows;
+    UpstreamConnectCheck m_connectCheck;
     bool m_isStarted = false;
-    Delay m_turnTimer;
-    Delay m_leaveTimer;
-    Millis m_leavingSince = 0;
+    Delay m_tickTimer;
+    Delay m_shutdownTimer;
+    Millis m_shutdownStartedAt = 0;
 
-    std::unordered_map<std::uint32_t, Millis> m_heardFrom;
-    float m_toldLoad = 0;
-    Millis m_toldAt = 0;
+    std::unordered_map<std::uint32_t, Millis> m_activeBalancers;
+    float m_lastSentLoad = 0;
+    Millis m_loadSentAt = 0;
 
     EnumCounters<ReportEffect> m_reports;
-    EnumCounters<DecodeError> m_badCalls;
+    EnumCounters<DecodeError> m_malformedRequests;
     std::uint64_t m_resetFlows = 0;
 };
 
--- a/src/kingcuptraild/packets/packetbalancer.cpp
+++ b/src/kingcuptraild/packets/packetbalancer.cpp
@@ -12,31 +12,31 @@
 namespace {
 
     /// Interval of the periodic work, in milliseconds.
-    constexpr Millis turnInterval = 20;
+    constexpr Millis tickInterval = 20;
     /// How often agents that do not answer are pinged, in milliseconds.
     constexpr Millis pingInterval = 200;
     /// Agents pinged in one round.
-    constexpr std::size_t pingsInRound = 16;
+    constexpr std::size_t pingsPerRound = 16;
     /// A cached holder that was not used for longer is removed, in milliseconds. Longer than the idle limit of flows.
     constexpr Millis holderIdleLimit = 25000;
     constexpr Millis sweepInterval = 5000;
     /// How long routers may keep sending packets after the process was told to stop, in milliseconds: two failed readiness
     /// checks half a second apart, and some time for packets in flight.
-    constexpr Millis noticeTime = 1600;
+    constexpr Millis routerNoticeTime = 1600;
     /// Time without a packet after which the routers are assumed to have noticed, in milliseconds.
-    constexpr Millis quietTime = 300;
+    constexpr Millis ingressIdleTime = 300;
     /// How long before the end of the configured shutdown time the process ends by itself, in milliseconds.
-    constexpr Millis leaveMargin = 1000;
+    constexpr Millis shutdownMargin = 1000;
 
 }
 
 PacketBalancer::PacketBalancer(const RoleContext& role, const DeploymentAdapter& adapter)
     : m_state(role, adapter)
-    , m_openings(m_state)
-    , m_finder(m_state)
+    , m_dispatcher(m_state)
+    , m_holderFinder(m_state)
     , m_lookup(role.context, role.platform, m_state.network)
-    , m_turnTimer(role.context)
-    , m_leaveTimer(role.context)
+    , m_tickTimer(role.context)
+    , m_shutdownTimer(role.context)
 {
     const bool hasPeers = m_state.network.start({
         .onFlowMessage = [this](const PeerMessage& message, std::uint32_t sender) { handleFlowMessage(message, sender); },
@@ -58,7 +58,7 @@
         .address = role.settings.listen.address().to_v4().to_uint(),
         .dataCentre = role.settings.dataCentre,
     });
-    turn();
+    tick();
 }
 
 void PacketBalancer::openIngress()
@@ -71,7 +71,7 @@
 
 bool PacketBalancer::isReady() const
 {
-    return !m_isLeaving && m_state.network.routes().version != 0 && m_state.network.outages().revision != 0;
+    return !m_isShuttingDown && m_state.network.routes().version != 0 && m_state.network.outages().revision != 0;
 }
 
 void PacketBalancer::handleCallerDatagram(std::span<std::uint8_t> packet)
@@ -80,75 +80,75 @@
     DecodeError error = DecodeError::None;
     const auto head = m_state.adapter.decodePacket(packet, error);
     if (!head) {
-        m_state.fates.increment(PacketFate::Malformed);
+        m_state.packetOutcomes.increment(CallerPacketOutcome::Malformed);
         return;
     }
     // Only upstreams acknowledge openings or return packets, so a caller cannot have sent these.
     if ((head->flags.opens && head->flags.acknowledges) || head->flags.isReturned) {
-        m_state.fates.increment(PacketFate::Forged);
+        m_state.packetOutcomes.increment(CallerPacketOutcome::Forged);
         return;
     }
     const FlowKey flow = flowFromCaller(*head);
     if (isOpening(*head))
-        m_openings.open(flow, head->acknowledged, packet);
+        m_dispatcher.open(flow, head->acknowledged, packet);
     else
         handleFlowPacket(flow, *head, packet);
 }
 
 void PacketBalancer::handleFlowPacket(const FlowKey& flow, const PacketHeader& head, std::span<const std::uint8_t> packet)
 {
-    const auto holder = m_state.holders.find(flow);
-    if (holder == m_state.holders.end()) {
-        m_finder.search(flow, head, packet);
+    const auto holder = m_state.holderCache.find(flow);
+    if (holder == m_state.holderCache.end()) {
+        m_holderFinder.search(flow, head, packet);
         return;
     }
     holder->second.usedAt = m_state.role.clock.now();
     m_state.network.send(holder->second.agent, { .kind = wire::PeerKind::Forward, .flow = flow, .configVersion = m_state.network.routes().version, .packet = packet });
-    m_state.fates.increment(PacketFate::Forwarded);
+    m_state.packetOutcomes.increment(CallerPacketOutcome::Forwarded);
 }
 
 void PacketBalancer::handleFlowMessage(const PeerMessage& message, std::uint32_t sender)
 {
-    recordMessage(m_state.silent, sender);
+    recordMessage(m_state.unresponsiveAgents, sender);
     switch (message.kind) {
     case wire::PeerKind::Admitted:
-        m_openings.handleAdmitted(message, sender);
+        m_dispatcher.handleAdmitted(message, sender);
         break;
     case wire::PeerKind::Refused:
-        m_openings.handleRefused(message, sender);
+        m_dispatcher.handleRefused(message, sender);
         break;
     case wire::PeerKind::Held:
     case wire::PeerKind::NotHeld:
     case wire::PeerKind::Unsure:
-        m_finder.handleHolderAnswer(message, sender);
+        m_holderFinder.handleHolderAnswer(message, sender);
         break;
     case wire::PeerKind::HeldNear:
     case wire::PeerKind::NotHeldNear:
     case wire::PeerKind::UnsureNear:
-        m_finder.handleNearAnswer(message, sender);
+        m_holderFinder.handleDelegatedAnswer(message, sender);
         break;
     case wire::PeerKind::Load:
-        noteLoad(m_state, message, sender);
+        recordLoad(m_state, message, sender);
         break;
     default:
         break;
     }
 }
 
-void PacketBalancer::turn()
+void PacketBalancer::tick()
 {
     const Millis now = m_state.role.clock.now();
-    if (m_state.network.isInDoubt())
-        resetSilence(m_state.silent);
-    m_lookup.turn(now - m_state.startedAt);
+    if (m_state.network.mayBeStale())
+        resetSilence(m_state.unresponsiveAgents);
+    m_lookup.tick(now - m_state.startedAt);
     followStore(now);
-    m_openings.offerAgain(now);
-    m_finder.turn(now);
-    if (now - m_pingedAt >= pingInterval)
-        pingSilentAgents(now);
-    if (now - m_sweptAt >= sweepInterval)
-        sweepHolders(now);
-    m_turnTimer.start(turnInterval, [this] { turn(); });
+    m_dispatcher.retryOffers(now);
+    m_holderFinder.tick(now);
+    if (now - m_lastPingAt >= pingInterval)
+        pingUnresponsiveAgents(now);
+    if (now - m_lastSweepAt >= sweepInterval)
+        expireCachedHolders(now);
+    m_tickTimer.start(tickInterval, [this] { tick(); });
 }
 
 // A few balancers follow the store and pass changes on to all other processes, so that a change costs the store a few calls
@@ -159,22 +159,22 @@
     const bool hasView = m_state.network.routes().version != 0 && m_state.network.outages().revision != 0;
     // After a loss of all processes none of them has a view. The first few that read the store pass the view on; otherwise
     // each process would fetch it from the store over a small link just when callers return.
-    const bool isWithoutView = !hasView && isFirstReadDue(m_state.network.readers().options, now - m_state.startedAt, firstReadPatience(), m_state.network.isFetchingView());
-    const bool isWanted = !m_isLeaving && (isWithoutView || (hasView && shouldRead(m_state.network.readers(), m_state.role.settings.name, m_store != nullptr, readerRank(), now)));
-    if (isWanted && !m_store) {
+    const bool isWithoutView = !hasView && isFirstReadDue(m_state.network.readers().options, now - m_state.startedAt, firstStoreReadDelay(), m_state.network.isFetchingView());
+    const bool shouldFollow = !m_isShuttingDown && (isWithoutView || (hasView && shouldRead(m_state.network.readers(), m_state.role.settings.name, m_store != nullptr, readerRank(), now)));
+    if (shouldFollow && !m_store) {
         m_store = std::make_unique<StoreFollower>(m_state.role.context, m_state.role.platform, m_state.adapter, m_state.network);
         logEvent(Event::StoreFollowed, { { "follows", "yes" }, { "rank", readerRank() } });
-    } else if (!isWanted && m_store) {
+    } else if (!shouldFollow && m_store) {
         m_storeCalls += m_store->callsMade();
         m_store.reset();
         logEvent(Event::StoreFollowed, { { "follows", "no" }, { "rank", readerRank() } });
     }
-    m_state.network.setReading(m_store && m_store->isCurrent());
+    m_state.network.setFollowingStore(m_store && m_store->isCurrent());
 }
 
 // Processes that have just started ask the seeds first, so the seeds read the store without a delay. The others know their
 // rank by the time that their delay has passed.
-Millis PacketBalancer::firstReadPatience()
+Millis PacketBalancer::firstStoreReadDelay()
 {
     const PacketSettings& settings = m_state.role.settings.packets;
     const StoreReaderOptions& options = m_state.network.readers().options;
@@ -193,24 +193,24 @@
     return rank;
 }
 
-void PacketBalancer::pingSilentAgents(Millis now)
+void PacketBalancer::pingUnresponsiveAgents(Millis now)
 {
-    m_pingedAt = now;
-    resetImplausibleSilence(m_state.silent, countAgents());
-    std::erase_if(m_state.silent.silentSince, [this](const auto& item) { return !findByAddress(m_state.network.directory(), item.first); });
-    std::vector<std::uint32_t> quiet;
-    for (const auto& [address, load] : m_state.loads) {
-        if (load.unanswered > 0 && !m_state.silent.silentSince.contains(address))
-            quiet.push_back(address);
+    m_lastPingAt = now;
+    resetImplausibleSilence(m_state.unresponsiveAgents, countAgents());
+    std::erase_if(m_state.unresponsiveAgents.silentSince, [this](const auto& item) { return !findByAddress(m_state.network.directory(), item.first); });
+    std::vector<std::uint32_t> pingTargets;
+    for (const auto& [address, load] : m_state.agentLoads) {
+        if (load.unanswered > 0 && !m_state.unresponsiveAgents.silentSince.contains(address))
+            pingTargets.push_back(address);
     }
-    for (const auto& [address, since] : m_state.silent.silentSince)
-        quiet.push_back(address);
+    for (const auto& [address, since] : m_state.unresponsiveAgents.silentSince)
+        pingTargets.push_back(address);
     // Each round pings the next few agents, so that a process that receives no answers does not add to its own load.
-    if (quiet.size() > pingsInRound) {
-        std::rotate(quiet.begin(), quiet.begin() + static_cast<std::ptrdiff_t>(m_pingRound++ * pingsInRound % quiet.size()), quiet.end());
-        quiet.resize(pingsInRound);
+    if (pingTargets.size() > pingsPerRound) {
+        std::rotate(pingTargets.begin(), pingTargets.begin() + static_cast<std::ptrdiff_t>(m_pingRound++ * pingsPerRound % pingTargets.size()), pingTargets.end());
+        pingTargets.resize(pingsPerRound);
     }
-    m_state.network.sendToAll(quiet, { .kind = wire::PeerKind::Ping, .configVersion = m_state.network.routes().version });
+    m_state.network.sendToAll(pingTargets, { .kind = wire::PeerKind::Ping, .configVersion = m_state.network.routes().version });
 }
 
 std::size_t PacketBalancer::countAgents() const
@@ -219,10 +219,10 @@
     return static_cast<std::size_t>(std::ranges::count_if(m_state.network.directory().entries, isAgent));
 }
 
-void PacketBalancer::sweepHolders(Millis now)
+void PacketBalancer::expireCachedHolders(Millis now)
 {
-    m_sweptAt = now;
-    std::erase_if(m_state.holders, [now](const auto& item) { return now - item.second.usedAt > holderIdleLimit; });
+    m_lastSweepAt = now;
+    std::erase_if(m_state.holderCache, [now](const auto& item) { return now - item.second.usedAt > holderIdleLimit; });
 }
 
 // Routers keep sending until they notice that this process is not ready. Packets that arrive until then are still handled, so
@@ -230,16 +230,16 @@
 void PacketBalancer::shutDown(std::function<void()> done)
 {
     const Millis now = m_state.role.clock.now();
-    if (!m_isLeaving)
-        m_leavingSince = now;
-    m_isLeaving = true;
-    const bool isNoticed = now - m_leavingSince >= noticeTime && now - m_lastCallerPacketAt >= quietTime;
-    const bool mustEnd = now - m_leavingSince >= m_state.role.settings.packets.leave - leaveMargin;
-    if ((isNoticed && m_openings.isEmpty()) || mustEnd) {
+    if (!m_isShuttingDown)
+        m_shutdownStartedAt = now;
+    m_isShuttingDown = true;
+    const bool hasTrafficStopped = now - m_shutdownStartedAt >= routerNoticeTime && now - m_lastCallerPacketAt >= ingressIdleTime;
+    const bool mustEnd = now - m_shutdownStartedAt >= m_state.role.settings.packets.leave - shutdownMargin;
+    if ((hasTrafficStopped && m_dispatcher.isEmpty()) || mustEnd) {
         done();
         return;
     }
-    m_leaveTimer.start(turnInterval, [this, done = std::move(done)] { shutDown(done); });
+    m_shutdownTimer.start(tickInterval, [this, done = std::move(done)] { shutDown(done); });
 }
 
 std::string PacketBalancer::statusMembers() const
@@ -248,14 +248,14 @@
     for (const auto& [name, entry] : m_state.network.directory().entries) {
         if (entry.role != PeerRole::Agent)
             continue;
-        const auto load = m_state.loads.find(entry.address);
+        const auto load = m_state.agentLoads.find(entry.address);
         agents.push_back({
             { "name", name },
             { "service", entry.service },
             { "dataCentre", entry.dataCentre },
             { "state", nameOf(entry.state) },
-            { "atWork", load != m_state.loads.end() ? load->second.atWork : 0 },
-            { "unanswered", load != m_state.loads.end() ? load->second.unanswered : 0 },
+            { "atWork", load != m_state.agentLoads.end() ? load->second.atWork : 0 },
+            { "unanswered", load != m_state.agentLoads.end() ? load->second.unanswered : 0 },
         });
     }
     const nlohmann::json status {
@@ -263,7 +263,7 @@
         { "routesVersion", m_state.network.routes().version },
         { "out", m_state.network.outages().out },
         { "ready", isReady() },
-        { "leaving", m_isLeaving },
+        { "leaving", m_isShuttingDown },
         { "followsStore", m_store != nullptr },
         { "platformTrouble", nameOf(m_store ? m_store->lastReason() : PlatformError::None) },
     };
@@ -273,12 +273,12 @@
 
 void PacketBalancer::exposeMetrics(std::string& out) const
 {
-    exposeCounters(out, "kingcuptrail_caller_packets_total", "Callers' packets by what was done with them.", m_state.fates);
+    exposeCounters(out, "kingcuptrail_caller_packets_total", "Callers' packets by what was done with them.", m_state.packetOutcomes);
     exposeCounters(out, "kingcuptrail_flow_resets_total", "Flows reset by this balancer, by reason.", m_state.resets);
     exposeCounters(out, "kingcuptrail_openings_refused_total", "Refusals by agents, by reason.", m_state.refusals);
-    m_finder.exposeMetrics(out);
-    m_openings.exposeMetrics(out);
-    exposeGauge(out, "kingcuptrail_cached_holders", "Flows whose holder is cached.", static_cast<double>(m_state.holders.size()));
+    m_holderFinder.exposeMetrics(out);
+    m_dispatcher.exposeMetrics(out);
+    exposeGauge(out, "kingcuptrail_cached_holders", "Flows whose holder is cached.", static_cast<double>(m_state.holderCache.size()));
     exposeCounter(out, "kingcuptrail_store_calls_total", "Calls of the store.", m_storeCalls + m_lookup.callsMade() + (m_store ? m_store->callsMade() : 0));
     m_state.network.exposeMetrics(out);
 }
--- a/src/kingcuptraild/packets/packetbalancer.h
+++ b/src/kingcuptraild/packets/packetbalancer.h
@@ -23,33 +23,33 @@
     void handleCallerDatagram(std::span<std::uint8_t> packet);
     void handleFlowPacket(const FlowKey& flow, const PacketHeader& head, std::span<const std::uint8_t> packet);
     void handleFlowMessage(const PeerMessage& message, std::uint32_t sender);
-    void turn();
-    void pingSilentAgents(Millis now);
+    void tick();
+    void pingUnresponsiveAgents(Millis now);
     std::size_t countAgents() const;
-    void sweepHolders(Millis now);
+    void expireCachedHolders(Millis now);
     bool isReady() const;
     void openIngress();
     void followStore(Millis now);
-    Millis firstReadPatience();
+    Millis firstStoreReadDelay();
     std::size_t readerRank() const;
 
     BalancerState m_state;
-    ConnectionDispatcher m_openings;
-    HolderFinder m_finder;
+    ConnectionDispatcher m_dispatcher;
+    HolderFinder m_holderFinder;
     PeerLookup m_lookup;
     std::unique_ptr<StoreFollower> m_store;
     /// Calls made by store followers that have ended.
     std::uint64_t m_storeCalls = 0;
     std::unique_ptr<DatagramSocket> m_ingress;
     bool m_isStarted = false;
-    Delay m_turnTimer;
-    Delay m_leaveTimer;
-    Millis m_pingedAt = 0;
+    Delay m_tickTimer;
+    Delay m_shutdownTimer;
+    Millis m_lastPingAt = 0;
     std::size_t m_pingRound = 0;
-    Millis m_sweptAt = 0;
+    Millis m_lastSweepAt = 0;
     Millis m_lastCallerPacketAt = 0;
-    Millis m_leavingSince = 0;
-    bool m_isLeaving = false;
+    Millis m_shutdownStartedAt = 0;
+    bool m_isShuttingDown = false;
 };
 
 }
--- a/src/kingcuptraild/packets/pausemeter.cpp
+++ b/src/kingcuptraild/packets/pausemeter.cpp
@@ -8,7 +8,7 @@
 
     /// A process that has not run for longer than this was paused, in milliseconds: seven periods of the 100 ms timer that
     /// records activity. On a busy host the timer is late by two or three periods at the most.
-    constexpr Millis longestGap = 700;
+    constexpr Millis pauseThreshold = 700;
     /// Gossip counts only when it is received this long after a pause, in milliseconds. Messages that waited in the socket
     /// during the pause have been read by then.
     constexpr Millis backlogTime = 200;
@@ -34,18 +34,18 @@
     const Millis now = suspendAwareNow();
     const Millis gap = now - m_lastRun;
     m_lastRun = now;
-    if (gap <= longestGap)
+    if (gap <= pauseThreshold)
         return false;
     m_lastPause = gap;
     m_resumedAt = now;
-    m_isInDoubt = true;
+    m_mayBeStale = true;
     return true;
 }
 
-void PauseMeter::noteNews()
+void PauseMeter::recordGossip()
 {
-    if (m_isInDoubt && suspendAwareNow() - m_resumedAt >= backlogTime)
-        m_isInDoubt = false;
+    if (m_mayBeStale && suspendAwareNow() - m_resumedAt >= backlogTime)
+        m_mayBeStale = false;
 }
 
 }
--- a/src/kingcuptraild/packets/pausemeter.h
+++ b/src/kingcuptraild/packets/pausemeter.h
@@ -15,16 +15,16 @@
     bool recordRun();
 
     /// Records that a peer's gossip message was received.
-    void noteNews();
+    void recordGossip();
 
-    bool isInDoubt() const { return m_isInDoubt; }
+    bool mayBeStale() const { return m_mayBeStale; }
     Millis lastPause() const { return m_lastPause; }
 
 private:
     Millis m_lastRun;
     Millis m_resumedAt = 0;
     Millis m_lastPause = 0;
-    bool m_isInDoubt = false;
+    bool m_mayBeStale = false;
 };
 
 }
--- a/src/kingcuptraild/packets/peerlookup.cpp
+++ b/src/kingcuptraild/packets/peerlookup.cpp
@@ -9,9 +9,9 @@
 namespace {
 
     /// How long a process waits for an answer of its seeds, in milliseconds: a few round trips.
-    constexpr Millis seedPatience = 15;
+    constexpr Millis seedTimeout = 15;
     /// Peers that are asked for their gossip once the store has named some.
-    constexpr std::size_t peersAsked = 4;
+    constexpr std::size_t maxPeersAsked = 4;
 
 }
 
@@ -21,21 +21,21 @@
 {
 }
 
-void PeerLookup::turn(Millis sinceStart)
+void PeerLookup::tick(Millis sinceStart)
 {
-    if (m_hasLooked || m_network.lastNewsAt() != 0 || sinceStart < seedPatience)
+    if (m_hasListed || m_network.lastGossipAt() != 0 || sinceStart < seedTimeout)
         return;
-    m_hasLooked = true;
+    m_hasListed = true;
     const auto handler = [this](const std::optional<ObjectList>& objects, PlatformError reason) {
         if (objects)
-            take(*objects);
+            handleListing(*objects);
         else
             logEvent(Event::PlatformTrouble, { { "reason", nameOf(reason) }, { "call", "lookup" } });
     };
     m_client.list(agentKind, handler, ListFreshness::MayBeOld);
 }
 
-void PeerLookup::take(const ObjectList& objects)
+void PeerLookup::handleListing(const ObjectList& objects)
 {
     std::vector<PeerEntry> entries;
     for (const PlatformObject& object : objects.objects) {
@@ -43,8 +43,8 @@
         if (auto entry = object.value ? parsePeerEntry(*object.value) : std::nullopt)
             entries.push_back(std::move(*entry));
     }
-    m_network.takeEntries(entries);
-    m_network.askSome(peersAsked);
+    m_network.updateEntries(entries);
+    m_network.requestGossip(maxPeersAsked);
 }
 
 }
--- a/src/kingcuptraild/packets/peerlookup.h
+++ b/src/kingcuptraild/packets/peerlookup.h
@@ -13,16 +13,16 @@
 
     /// Reads the agents from the store once, if no peer has sent gossip by then; to be called several times a second.
     /// `sinceStart` is the age of the process in milliseconds.
-    void turn(Millis sinceStart);
+    void tick(Millis sinceStart);
 
     std::uint64_t callsMade() const { return m_client.callsMade(); }
 
 private:
-    void take(const ObjectList& objects);
+    void handleListing(const ObjectList& objects);
 
     PlatformClient m_client;
     PeerNetwork& m_network;
-    bool m_hasLooked = false;
+    bool m_hasListed = false;
 };
 
 }
--- a/src/kingcuptraild/packets/peernetwork.cpp
+++ b/src/kingcuptraild/packets/peernetwork.cpp
@@ -11,26 +11,26 @@
     /// Time between two rounds of gossip, in milliseconds, and the receivers in each. A process that missed a change
     /// learns of it within about a second. Each process sends and receives 8 datagrams of about 150 bytes a second, however
     /// many processes there are.
-    constexpr Millis tellInterval = 250;
-    constexpr std::size_t tellCount = 2;
+    constexpr Millis gossipInterval = 250;
+    constexpr std::size_t gossipFanout = 2;
     /// Peers to which a change is sent at once. With eight each, 5,000 processes know it after five rounds.
-    constexpr std::size_t changeCount = 8;
+    constexpr std::size_t changeFanout = 8;
     /// Peers to which a received announcement is passed on. With two each it reaches nearly all processes, and the periodic
     /// rounds reach the rest.
-    constexpr std::size_t relayCount = 2;
+    constexpr std::size_t relayFanout = 2;
     /// Time between two rounds while a process has no configuration or has received no gossip, in milliseconds. A round costs
     /// three datagrams, and the process can serve only after an answer.
-    constexpr Millis firstTellInterval = 50;
+    constexpr Millis startGossipInterval = 50;
     /// Idle time after which a fetch is cancelled, in milliseconds: the peer does not answer, or stops in the middle. The view
     /// is then fetched from another peer.
-    constexpr Millis fetchSilence = 400;
+    constexpr Millis fetchIdleTimeout = 400;
     /// Time limit of a whole fetch, in milliseconds: enough for the largest configuration over a link of 2 Mbit/s that carries
     /// callers' packets as well. With a limit that a slow link cannot meet, the same bytes would be sent again and again.
-    constexpr Millis fetchLimit = 3000;
+    constexpr Millis fetchTimeout = 3000;
     /// The most directory entries that one gossip message carries.
-    constexpr std::size_t entriesInNews = 6;
+    constexpr std::size_t maxEntriesPerMessage = 6;
     /// How often the process checks for a pause, in milliseconds.
-    constexpr Millis runningInterval = 100;
+    constexpr Millis pauseCheckInterval = 100;
 
 }
 
@@ -38,11 +38,11 @@
     : m_context(context)
     , m_settings(settings)
     , m_clock(clock)
-    , m_fetchSilence(context)
-    , m_tellTimer(context)
+    , m_fetchIdleTimer(context)
+    , m_gossipTimer(context)
     , m_random(std::random_device {}())
     , m_ownAddress(settings.listen.address().to_v4().to_uint())
-    , m_fetching { .startedAt = clock.now() }
+    , m_fetchLimiter { .startedAt = clock.now() }
 {
 }
 
@@ -62,10 +62,10 @@
     asio::error_code error;
     m_viewServer = HttpServer::listen(
         m_context, m_settings.listen, { .maxBodyBytes = 0, .requestTimeout = 2000, .maxConnections = 256 },
-        [this](const HttpRequest& request, const std::shared_ptr<HttpResponder>& responder) { answerView(request, responder); }, error);
+        [this](const HttpRequest& request, const std::shared_ptr<HttpResponder>& responder) { serveView(request, responder); }, error);
     if (!m_socket || !m_viewServer)
         return false;
-    tellPeriodically();
+    gossipPeriodically();
     return true;
 }
 
@@ -77,7 +77,7 @@
     return view;
 }
 
-void PeerNetwork::takeRoutes(RouteTable routes)
+void PeerNetwork::updateRoutes(RouteTable routes)
 {
     const ConfigVersion previous = m_view.routes.version;
     if (!applyRoutes(m_view.routes, std::move(routes)))
@@ -85,10 +85,10 @@
     logEvent(Event::RoutesInForce, { { "version", m_view.routes.version }, { "previous", previous }, { "routes", m_view.routes.routes.size() } });
     for (const ServiceLimits& limits : m_view.routes.services)
         logEvent(Event::ServiceLimitsInForce, { { "service", limits.name }, { "flowLimit", limits.flowLimit }, { "warmUp", static_cast<std::uint64_t>(limits.warmUp) }, { "coldRate", static_cast<std::uint64_t>(limits.coldRate) } });
-    tellSome(changeCount, {});
+    gossipToRandomPeers(changeFanout, {});
 }
 
-void PeerNetwork::takeOutages(OutageView outages)
+void PeerNetwork::updateOutages(OutageView outages)
 {
     const OutageView previous = m_view.outages;
     if (!applyOutages(m_view.outages, std::move(outages)))
@@ -104,50 +104,50 @@
         if (!isDataCentreOut(previous, name))
             logEvent(Event::DataCentreOut, { { "dataCentre", name }, { "revision", m_view.outages.revision } });
     }
-    tellSome(changeCount, {});
+    gossipToRandomPeers(changeFanout, {});
     m_handlers.onOutages(returned);
 }
 
-void PeerNetwork::takeEntry(const PeerEntry& entry)
+void PeerNetwork::updateEntry(const PeerEntry& entry)
 {
-    if (!noteEntry(entry))
+    if (!mergeEntry(entry))
         return;
-    noteDirectoryChanged();
+    updateDigests();
     logEvent(Event::PeerChanged, { { "peer", entry.name }, { "role", nameOf(entry.role) }, { "state", nameOf(entry.state) }, { "epoch", entry.epoch } });
     // An agent announces itself to every balancer, so balancers do not pass its entry on. Agents do.
-    const bool isToldToAll = entry.role == PeerRole::Agent && m_self.role == PeerRole::Balancer;
+    const bool isAnnouncedDirectly = entry.role == PeerRole::Agent && m_self.role == PeerRole::Balancer;
     // No answer is requested: a receiver whose digest differs compares directories anyway, and an answer to each copy would
     // only repeat what the sender knows.
-    if (!isToldToAll)
-        tellSome(relayCount, { entry }, false);
+    if (!isAnnouncedDirectly)
+        gossipToRandomPeers(relayFanout, { entry }, false);
 }
 
 // After a restart of all processes each of them learns of all others at once. Passing on and logging the entries one by one
 // blocks balancers for half a second with 84 processes, so a list is neither passed on nor logged by entry. A peer that lacks
 // one of the entries detects it by the digest.
-void PeerNetwork::takeEntries(const std::vector<PeerEntry>& entries)
+void PeerNetwork::updateEntries(const std::vector<PeerEntry>& entries)
 {
     std::vector<const PeerEntry*> taken;
     for (const PeerEntry& entry : entries) {
-        if (noteEntry(entry))
+        if (mergeEntry(entry))
             taken.push_back(&entry);
     }
     if (taken.empty())
         return;
-    noteDirectoryChanged();
+    updateDigests();
     // The list may contain balancers that this process did not know when it announced itself.
     for (const PeerEntry* entry : taken)
-        tellIfBalancer(*entry);
+        announceToBalancer(*entry);
     logEvent(Event::DirectoryTaken, { { "entries", entries.size() }, { "new", taken.size() }, { "known", m_directory.entries.size() } });
 }
 
-void PeerNetwork::noteDirectoryChanged()
+void PeerNetwork::updateDigests()
 {
     m_digest = digestOf(m_directory);
     m_agentsDigest = agentsDigestOf(m_directory);
 }
 
-bool PeerNetwork::noteEntry(const PeerEntry& entry)
+bool PeerNetwork::mergeEntry(const PeerEntry& entry)
 {
     if (entry.name == m_self.name && !m_self.name.empty()) {
         // The entry is an announcement of an earlier process with an epoch that is not lower than the current one: the wall
@@ -170,33 +170,33 @@
         self.epoch = std::max(self.epoch, unixMillis());
     m_self = std::move(self);
     applyEntry(m_directory, m_self);
-    noteDirectoryChanged();
-    tellSome(changeCount, { m_self });
+    updateDigests();
+    gossipToRandomPeers(changeFanout, { m_self });
     for (const auto& [name, entry] : m_directory.entries)
-        tellIfBalancer(entry);
+        announceToBalancer(entry);
     return m_self;
 }
 
 // An announcement that is passed on from peer to peer misses some processes, which learn of it some tenths of a second later.
 // A balancer among them would not ask a new agent for flows that other balancers have already opened there. An agent therefore
 // announces itself to each balancer directly, with one datagram each.
-void PeerNetwork::tellIfBalancer(const PeerEntry& entry)
+void PeerNetwork::announceToBalancer(const PeerEntry& entry)
 {
     const bool isAnnounced = m_self.role == PeerRole::Agent && !m_self.name.empty();
     if (isAnnounced && entry.role == PeerRole::Balancer && entry.state != PeerState::Gone)
-        tell(entry.address, { m_self }, false);
+        sendGossip(entry.address, { m_self }, false);
 }
 
-void PeerNetwork::setReading(bool isReading)
+void PeerNetwork::setFollowingStore(bool isFollowing)
 {
-    if (m_isReading == isReading)
+    if (m_isFollowingStore == isFollowing)
         return;
-    m_isReading = isReading;
-    if (isReading)
+    m_isFollowingStore = isFollowing;
+    if (isFollowing)
         beat(m_readers, m_self.name, m_clock.now());
     else
         announceStop(m_readers, m_self.name, m_clock.now());
-    tellSome(changeCount, {});
+    gossipToRandomPeers(changeFanout, {});
 }
 
 void PeerNetwork::send(std::uint32_t address, const FlowMessage& message)
@@ -216,14 +216,14 @@
     m_socket->send(packet, receiver);
 }
 
-bool PeerNetwork::isInDoubt()
+bool PeerNetwork::mayBeStale()
 {
-    if (m_pause.recordRun()) {
-        logEvent(Event::ProcessPaused, { { "milliseconds", static_cast<std::uint64_t>(m_pause.lastPause()) } });
+    if (m_pauseMeter.recordRun()) {
+        logEvent(Event::ProcessPaused, { { "milliseconds", static_cast<std::uint64_t>(m_pauseMeter.lastPause()) } });
         resetAgreement(m_agentsAgreement);
-        tellSome(changeCount, {});
+        gossipToRandomPeers(changeFanout, {});
     }
-    return m_pause.isInDoubt();
+    return m_pauseMeter.mayBeStale();
 }
 
 bool PeerNetwork::isDirectoryConfirmed() const
@@ -233,51 +233,51 @@
 
 void PeerNetwork::handleDatagram(std::span<const std::uint8_t> datagram, std::uint32_t sender)
 {
-    isInDoubt();
+    mayBeStale();
     FrameError error = FrameError::None;
     const auto message = decodePeerMessage(datagram, error);
     if (!message) {
-        m_trouble.increment(PeerTrouble::Malformed);
+        m_messageErrors.increment(PeerMessageError::Malformed);
         return;
     }
     if (message->configVersion > m_view.routes.version)
         fetchRoutes(sender, message->configVersion);
     if (message->kind == wire::PeerKind::News)
-        handleNews(*message, sender);
+        handleGossip(*message, sender);
     else if (message->kind == wire::PeerKind::DirectoryDigests)
         handleDigests(*message, sender);
     else
         m_handlers.onFlowMessage(*message, sender);
 }
 
-void PeerNetwork::handleNews(const PeerMessage& message, std::uint32_t sender)
+void PeerNetwork::handleGossip(const PeerMessage& message, std::uint32_t sender)
 {
-    m_lastNewsAt = m_clock.now();
-    m_pause.noteNews();
+    m_lastGossipAt = m_clock.now();
+    m_pauseMeter.recordGossip();
     if (auto outages = outagesOf(message))
-        takeOutages(std::move(*outages));
+        updateOutages(std::move(*outages));
     const std::vector<PeerEntry> entries = entriesOf(message);
     if (entries.size() == 1)
-        takeEntry(entries.front());
+        updateEntry(entries.front());
     else
-        takeEntries(entries);
+        updateEntries(entries);
     for (const ReaderHeartbeat& reader : readersOf(message))
-        recordHeartbeat(m_readers, reader, m_lastNewsAt);
+        recordHeartbeat(m_readers, reader, m_lastGossipAt);
     recordPeerDigest(m_agentsAgreement, message.table->agents_digest() == m_agentsDigest, m_clock.now());
     if (message.table->digest() != m_digest)
         compareDirectory(sender);
     if (message.table->wants_answer())
-        tell(sender, { m_self }, false);
+        sendGossip(sender, { m_self }, false);
 }
 
-void PeerNetwork::tellPeriodically()
+void PeerNetwork::gossipPeriodically()
 {
-    isInDoubt();
-    if (m_isReading)
+    mayBeStale();
+    if (m_isFollowingStore)
         beat(m_readers, m_self.name, m_clock.now());
-    tellNearAndFar();
-    const bool knowsLittle = m_view.routes.version == 0 || m_lastNewsAt == 0;
-    m_tellTimer.start(knowsLittle ? firstTellInterval : std::max(tellInterval, runningInterval), [this] { tellPeriodically(); });
+    gossipNearAndFar();
+    const bool isStarting = m_view.routes.version == 0 || m_lastGossipAt == 0;
+    m_gossipTimer.start(isStarting ? startGossipInterval : std::max(gossipInterval, pauseCheckInterval), [this] { gossipPeriodically(); });
 }
 
 std::vector<std::uint32_t> PeerNetwork::nearPeers() const
@@ -292,16 +292,16 @@
 
 // Of the two receivers of a round, one is in the same data centre and the other is any peer: half of the bytes stay within the
 // data centre, and gossip still spreads between data centres.
-void PeerNetwork::tellNearAndFar()
+void PeerNetwork::gossipNearAndFar()
 {
     const std::vector<PeerEntry> own = m_self.name.empty() ? std::vector<PeerEntry> {} : std::vector { m_self };
     const std::vector<std::uint32_t> near = nearPeers();
     if (near.empty()) {
-        tellSome(tellCount, own);
+        gossipToRandomPeers(gossipFanout, own);
         return;
     }
-    tell(near[m_random() % near.size()], own, true);
-    tellSome(tellCount - 1, own);
+    sendGossip(near[m_random() % near.size()], own, true);
+    gossipToRandomPeers(gossipFanout - 1, own);
 }
 
 std::vector<std::uint32_t> PeerNetwork::knownPeers() const
@@ -311,7 +311,7 @@
         if (entry.state != PeerState::Gone && entry.address != m_ownAddress)
             peers.push_back(entry.address);
     }
-    if (m_lastNewsAt != 0 && !peers.empty())
+    if (m_lastGossipAt != 0 && !peers.empty())
         return peers;
     for (const auto& seed : m_settings.packets.seeds) {
         const std::uint32_t address = seed.address().to_v4().to_uint();
@@ -321,22 +321,22 @@
     return peers;
 }
 
-void PeerNetwork::tellSome(std::size_t count, const std::vector<PeerEntry>& changed, bool wantsAnswer)
+void PeerNetwork::gossipToRandomPeers(std::size_t count, const std::vector<PeerEntry>& changed, bool wantsAnswer)
 {
     std::vector<std::uint32_t> peers = knownPeers();
     std::ranges::shuffle(peers, m_random);
     if (peers.size() > count)
         peers.resize(count);
     for (const std::uint32_t peer : peers)
-        tell(peer, changed, wantsAnswer);
+        sendGossip(peer, changed, wantsAnswer);
 }
 
-void PeerNetwork::tell(std::uint32_t address, const std::vector<PeerEntry>& changed, bool wantsAnswer)
+void PeerNetwork::sendGossip(std::uint32_t address, const std::vector<PeerEntry>& changed, bool wantsAnswer)
 {
     NewsMessage news { .configVersion = m_view.routes.version, .digest = m_digest, .agentsDigest = m_agentsDigest, .outages = &m_view.outages, .entries = changed, .readers = currentHeartbeats(m_readers, m_clock.now()), .wantsAnswer = wantsAnswer };
     std::erase_if(news.entries, [](const PeerEntry& entry) { return entry.name.empty(); });
-    if (news.entries.size() > entriesInNews)
-        news.entries.resize(entriesInNews);
+    if (news.entries.size() > maxEntriesPerMessage)
+        news.entries.resize(maxEntriesPerMessage);
     m_socket->send(m_encoder.encode(news), peerEndpoint(address));
 }
 
@@ -345,9 +345,9 @@
 void PeerNetwork::compareDirectory(std::uint32_t address)
 {
     const Millis now = m_clock.now();
-    if (m_comparedAt > 0 && now - m_comparedAt < DirectoryDifferenceOptions {}.interval)
+    if (m_lastComparisonAt > 0 && now - m_lastComparisonAt < DirectoryDifferenceOptions {}.interval)
         return;
-    m_comparedAt = now;
+    m_lastComparisonAt = now;
     sendDigests(address, true, false);
 }
 
@@ -360,10 +360,10 @@
 void PeerNetwork::handleDigests(const PeerMessage& message, std::uint32_t sender)
 {
     const DirectoryDifference difference = differenceTo(m_directory, digestsOf(message));
-    for (std::size_t first = 0; first < difference.entries.size(); first += entriesInNews) {
-        const std::size_t count = std::min(entriesInNews, difference.entries.size() - first);
+    for (std::size_t first = 0; first < difference.entries.size(); first += maxEntriesPerMessage) {
+        const std::size_t count = std::min(maxEntriesPerMessage, difference.entries.size() - first);
         const auto begin = difference.entries.begin() + static_cast<std::ptrdiff_t>(first);
-        tell(sender, { begin, begin + static_cast<std::ptrdiff_t>(count) }, false);
+        sendGossip(sender, { begin, begin + static_cast<std::ptrdiff_t>(count) }, false);
     }
     // A large difference is seen first by the process that has the entries and needs no fetch itself, so it tells the peer,
     // which then fetches the directory.
@@ -376,18 +376,18 @@
 
 void PeerNetwork::fetchDirectory(std::uint32_t address)
 {
-    if (!m_fetch && tryBeginDirectoryFetch(m_fetching, m_directory.entries.size(), m_clock.now()))
+    if (!m_fetch && tryBeginDirectoryFetch(m_fetchLimiter, m_directory.entries.size(), m_clock.now()))
         fetchView(address, { .routes = false, .entries = true });
 }
 
 void PeerNetwork::fetchRoutes(std::uint32_t address, ConfigVersion offered)
 {
     if (m_fetch) {
-        m_newerAt = address;
+        m_newerVersionPeer = address;
         m_newerVersion = offered;
         return;
     }
-    if (tryBeginRoutesFetch(m_fetching, m_view.routes.version, offered, m_clock.now()))
+    if (tryBeginRoutesFetch(m_fetchLimiter, m_view.routes.version, offered, m_clock.now()))
         fetchView(address, { .routes = true, .entries = m_view.routes.version == 0 });
 }
 
@@ -395,45 +395,45 @@
 {
     const asio::ip::tcp::endpoint server(asio::ip::address_v4(address), m_settings.listen.port());
     HttpCall::Handlers handlers;
-    handlers.onHead = [this](const HttpResponse&) { m_fetchSilence.cancel(); };
+    handlers.onHead = [this](const HttpResponse&) { m_fetchIdleTimer.cancel(); };
     handlers.onDone = [this](const std::optional<HttpResponse>& response, const HttpOutcome&) {
-        m_fetchSilence.cancel();
+        m_fetchIdleTimer.cancel();
         m_fetch.reset();
         if (!response) {
-            m_trouble.increment(PeerTrouble::ViewFetchFailed);
+            m_messageErrors.increment(PeerMessageError::ViewFetchFailed);
             return;
         }
         FrameError error = FrameError::None;
         const auto view = decodeView(response->body, error);
         if (view)
-            takeView(*view);
+            updateView(*view);
         else
-            m_trouble.increment(PeerTrouble::ViewMalformed);
+            m_messageErrors.increment(PeerMessageError::ViewMalformed);
         if (m_newerVersion > m_view.routes.version)
-            fetchRoutes(m_newerAt, std::exchange(m_newerVersion, 0));
+            fetchRoutes(m_newerVersionPeer, std::exchange(m_newerVersion, 0));
     };
-    m_fetch = startHttpCall(m_context, server, { .target = std::string("/view?routes=") + (parts.routes ? "1" : "0") + "&entries=" + (parts.entries ? "1" : "0") }, { .connectTimeout = fetchSilence, .timeout = fetchLimit, .silenceLimit = fetchSilence }, std::move(handlers));
-    m_fetchSilence.start(fetchSilence, [this] { giveUpFetch(); });
+    m_fetch = startHttpCall(m_context, server, { .target = std::string("/view?routes=") + (parts.routes ? "1" : "0") + "&entries=" + (parts.entries ? "1" : "0") }, { .connectTimeout = fetchIdleTimeout, .timeout = fetchTimeout, .silenceLimit = fetchIdleTimeout }, std::move(handlers));
+    m_fetchIdleTimer.start(fetchIdleTimeout, [this] { abandonFetch(); });
 }
 
 // A paused peer still accepts connections but does not answer.
-void PeerNetwork::giveUpFetch()
+void PeerNetwork::abandonFetch()
 {
     if (m_fetch)
         m_fetch->cancel();
     m_fetch.reset();
-    m_trouble.increment(PeerTrouble::ViewFetchFailed);
+    m_messageErrors.increment(PeerMessageError::ViewFetchFailed);
 }
 
-void PeerNetwork::takeView(const DeploymentView& view)
+void PeerNetwork::updateView(const DeploymentView& view)
 {
-    m_lastNewsAt = m_clock.now();
-    takeRoutes(view.routes);
-    takeOutages(view.outages);
-    takeEntries(view.entries);
+    m_lastGossipAt = m_clock.now();
+    updateRoutes(view.routes);
+    updateOutages(view.outages);
+    updateEntries(view.entries);
 }
 
-void PeerNetwork::answerView(const HttpRequest& request, const std::shared_ptr<HttpResponder>& responder) const
+void PeerNetwork::serveView(const HttpRequest& request, const std::shared_ptr<HttpResponder>& responder) const
 {
     const ViewParts parts { .routes = queryValue(request.target, "routes") != "0", .entries = queryValue(request.target, "entries") != "0" };
     responder->respond({ .headers = { { "Content-Type", "application/octet-stream" } }, .body = encodeView(view(), parts) });
@@ -450,7 +450,7 @@
     exposeCounter(out, "kingcuptrail_peer_datagrams_received_total", "Datagrams read from other processes and callers' replies.", counts.received);
     exposeCounter(out, "kingcuptrail_peer_datagrams_sent_total", "Datagrams sent to other processes, callers and the upstream.", counts.sent);
     exposeCounter(out, "kingcuptrail_peer_datagrams_unsent_total", "Datagrams that the host did not take.", counts.sendFailed);
-    exposeCounters(out, "kingcuptrail_peer_trouble_total", "Messages and views that were not taken, by reason.", m_trouble);
+    exposeCounters(out, "kingcuptrail_peer_trouble_total", "Messages and views that were not taken, by reason.", m_messageErrors);
     exposeGauge(out, "kingcuptrail_routes_version", "Configuration in force.", static_cast<double>(m_view.routes.version));
     exposeGauge(out, "kingcuptrail_directory_entries", "Processes that are known.", static_cast<double>(m_directory.entries.size()));
 }
--- a/src/kingcuptraild/packets/peernetwork.h
+++ b/src/kingcuptraild/packets/peernetwork.h
@@ -18,14 +18,14 @@
 namespace kingcuptrail {
 
 /// Why a message or view of a peer was not applied.
-enum class PeerTrouble : std::uint8_t {
+enum class PeerMessageError : std::uint8_t {
     Malformed,
     ViewFetchFailed,
     ViewMalformed,
 };
 
 template <>
-struct EnumNames<PeerTrouble> {
+struct EnumNames<PeerMessageError> {
     static constexpr std::array<std::string_view, 3> names { "malformed", "viewFetchFailed", "viewMalformed" };
 };
 
@@ -56,14 +56,14 @@
     DeploymentView view() const;
 
     /// Apply state from the store or a peer, unless it is older than what is known.
-    void takeRoutes(RouteTable routes);
-    void takeOutages(OutageView outages);
-    void takeEntry(const PeerEntry& entry);
+    void updateRoutes(RouteTable routes);
+    void updateOutages(OutageView outages);
+    void updateEntry(const PeerEntry& entry);
     /// Applies a whole list of entries, as the store or a peer's view holds it.
-    void takeEntries(const std::vector<PeerEntry>& entries);
+    void updateEntries(const std::vector<PeerEntry>& entries);
 
     /// Sends a gossip message that asks for an answer; the receivers are `count` random peers.
-    void askSome(std::size_t count) { tellSome(count, {}); }
+    void requestGossip(std::size_t count) { gossipToRandomPeers(count, {}); }
 
     /// Announces this process to its peers. Sets the epoch above that of every known announcement under its name.
     const PeerEntry& announce(PeerEntry self);
@@ -72,7 +72,7 @@
 
     /// The processes that follow the store, as known from gossip, and whether this process is one of them.
     StoreReaders& readers() { return m_readers; }
-    void setReading(bool isReading);
+    void setFollowingStore(bool isFollowing);
 
     void send(std::uint32_t address, const FlowMessage& message);
     /// The same message to several processes, encoded once.
@@ -84,35 +84,35 @@
     bool isFetchingView() const { return m_fetch != nullptr; }
     /// Whether this process was paused and has received no gossip since. Also detects a pause that has just ended, and asks
     /// peers for their gossip then.
-    bool isInDoubt();
+    bool mayBeStale();
     /// Whether the last peer that sent gossip knows exactly the agents that this process knows.
     bool isDirectoryConfirmed() const;
     /// Exchanges missing entries with a peer whose directory is known to differ.
     void compareDirectory(std::uint32_t address);
-    Millis lastNewsAt() const { return m_lastNewsAt; }
+    Millis lastGossipAt() const { return m_lastGossipAt; }
 
     void exposeMetrics(std::string& out) const;
 
 private:
-    bool noteEntry(const PeerEntry& entry);
-    void noteDirectoryChanged();
+    bool mergeEntry(const PeerEntry& entry);
+    void updateDigests();
     void handleDatagram(std::span<const std::uint8_t> datagram, std::uint32_t sender);
-    void handleNews(const PeerMessage& message, std::uint32_t sender);
-    void tellPeriodically();
-    void tellIfBalancer(const PeerEntry& entry);
-    void tellSome(std::size_t count, const std::vector<PeerEntry>& changed, bool wantsAnswer = true);
-    void tell(std::uint32_t address, const std::vector<PeerEntry>& changed, bool wantsAnswer);
+    void handleGossip(const PeerMessage& message, std::uint32_t sender);
+    void gossipPeriodically();
+    void announceToBalancer(const PeerEntry& entry);
+    void gossipToRandomPeers(std::size_t count, const std::vector<PeerEntry>& changed, bool wantsAnswer = true);
+    void sendGossip(std::uint32_t address, const std::vector<PeerEntry>& changed, bool wantsAnswer);
     std::vector<std::uint32_t> knownPeers() const;
     void sendDigests(std::uint32_t address, bool wantsAnswer, bool differsMuch);
     void handleDigests(const PeerMessage& message, std::uint32_t sender);
     void fetchDirectory(std::uint32_t address);
     std::vector<std::uint32_t> nearPeers() const;
-    void tellNearAndFar();
+    void gossipNearAndFar();
     void fetchRoutes(std::uint32_t address, ConfigVersion offered);
     void fetchView(std::uint32_t address, const ViewParts& parts);
-    void giveUpFetch();
-    void takeView(const DeploymentView& view);
-    void answerView(const HttpRequest& request, const std::shared_ptr<HttpResponder>& responder) const;
+    void abandonFetch();
+    void updateView(const DeploymentView& view);
+    void serveView(const HttpRequest& request, const std::shared_ptr<HttpResponder>& responder) const;
     asio::ip::udp::endpoint peerEndpoint(std::uint32_t address) const;
 
     asio::io_context& m_context;
@@ -122,8 +122,8 @@
     std::unique_ptr<DatagramSocket> m_socket;
     std::unique_ptr<HttpServer> m_viewServer;
     std::shared_ptr<HttpCall> m_fetch;
-    Delay m_fetchSilence;
-    Delay m_tellTimer;
+    Delay m_fetchIdleTimer;
+    Delay m_gossipTimer;
     PeerMessageEncoder m_encoder;
     std::minstd_rand m_random;
 
@@ -132,19 +132,19 @@
     DeploymentView m_view;
     Directory m_directory;
     StoreReaders m_readers;
-    bool m_isReading = false;
+    bool m_isFollowingStore = false;
     std::uint64_t m_digest = 0;
     std::uint64_t m_agentsDigest = 0;
-    PauseMeter m_pause;
-    Millis m_lastNewsAt = 0;
-    ViewFetchLimiter m_fetching;
+    PauseMeter m_pauseMeter;
+    Millis m_lastGossipAt = 0;
+    ViewFetchLimiter m_fetchLimiter;
     /// The peer that named a newer configuration while a fetch was in progress, and its version.
-    std::uint32_t m_newerAt = 0;
+    std::uint32_t m_newerVersionPeer = 0;
     ConfigVersion m_newerVersion = 0;
-    Millis m_comparedAt = 0;
+    Millis m_lastComparisonAt = 0;
     /// Whether peers know the same agents.
     DirectoryAgreement m_agentsAgreement;
-    EnumCounters<PeerTrouble> m_trouble;
+    EnumCounters<PeerMessageError> m_messageErrors;
 };
 
 }
--- a/src/kingcuptraild/packets/storefollower.cpp
+++ b/src/kingcuptraild/packets/storefollower.cpp
@@ -15,13 +15,13 @@
     /// 1.5 s and other processes take over within another second, so that a change is in force within the required 3 s. A
     /// store that is 80 times slower than usual still answers in time (0.3 s). Each of the three followers makes 120 calls a
     /// minute; they allow stale answers, which cost the store a tenth.
-    constexpr Millis pulseInterval = 500;
-    constexpr Millis pulseTimeout = 1000;
+    constexpr Millis livenessInterval = 500;
+    constexpr Millis livenessTimeout = 1000;
 
-    PlatformOptions pulseOptions(PlatformOptions options)
+    PlatformOptions livenessOptions(PlatformOptions options)
     {
-        options.connectTimeout = std::min(options.connectTimeout, pulseTimeout);
-        options.callTimeout = std::min(options.callTimeout, pulseTimeout);
+        options.connectTimeout = std::min(options.connectTimeout, livenessTimeout);
+        options.callTimeout = std::min(options.callTimeout, livenessTimeout);
         return options;
     }
 
@@ -38,14 +38,14 @@
     , m_routes(context, options, std::string(adapter.routesKind), routesHandlers())
     , m_outages(context, options, std::string(adapter.outagesKind), outagesHandlers())
     , m_agents(context, options, agentKind, agentsHandlers(), agentsInterval)
-    , m_pulse(context, pulseOptions(options), std::string(adapter.outagesKind), pulseHandlers(), pulseInterval)
-    , m_cleaner(context, options)
+    , m_livenessCheck(context, livenessOptions(options), std::string(adapter.outagesKind), livenessHandlers(), livenessInterval)
+    , m_removalClient(context, options)
 {
 }
 
 PlatformError StoreFollower::lastReason() const
 {
-    for (const KindWatcher* watcher : { &m_routes, &m_outages, &m_agents, &m_pulse }) {
+    for (const KindWatcher* watcher : { &m_routes, &m_outages, &m_agents, &m_livenessCheck }) {
         if (watcher->lastReason() != PlatformError::None)
             return watcher->lastReason();
     }
@@ -54,15 +54,15 @@
 
 std::uint64_t StoreFollower::callsMade() const
 {
-    return m_routes.callsMade() + m_outages.callsMade() + m_agents.callsMade() + m_pulse.callsMade() + m_cleaner.callsMade();
+    return m_routes.callsMade() + m_outages.callsMade() + m_agents.callsMade() + m_livenessCheck.callsMade() + m_removalClient.callsMade();
 }
 
 KindWatcher::Handlers StoreFollower::routesHandlers()
 {
     return {
-        .onList = [this](const ObjectList& list) { takeRoutes(list); },
-        .onChanges = [this](const ObjectList& changes) { takeRoutes(changes); },
-        .onTrouble = [this](PlatformError) { noteTrouble(); },
+        .onList = [this](const ObjectList& list) { updateRoutes(list); },
+        .onChanges = [this](const ObjectList& changes) { updateRoutes(changes); },
+        .onTrouble = [this](PlatformError) { recordStoreFailure(); },
     };
 }
 
@@ -70,69 +70,69 @@
 {
     return {
         .onList = [this](const ObjectList& list) {
-            m_out.clear();
-            takeOutages(list); },
-        .onChanges = [this](const ObjectList& changes) { takeOutages(changes); },
-        .onTrouble = [this](PlatformError) { noteTrouble(); },
+            m_outDataCentres.clear();
+            updateOutages(list); },
+        .onChanges = [this](const ObjectList& changes) { updateOutages(changes); },
+        .onTrouble = [this](PlatformError) { recordStoreFailure(); },
     };
 }
 
 KindWatcher::Handlers StoreFollower::agentsHandlers()
 {
     return {
-        .onList = [this](const ObjectList& list) { takeAgents(list); },
+        .onList = [this](const ObjectList& list) { updateAgents(list); },
         .onChanges = [](const ObjectList&) {},
-        .onTrouble = [this](PlatformError) { noteTrouble(); },
+        .onTrouble = [this](PlatformError) { recordStoreFailure(); },
     };
 }
 
 // Watches that were pending while the store did not answer may never be answered, so they are restarted when it answers again.
-KindWatcher::Handlers StoreFollower::pulseHandlers()
+KindWatcher::Handlers StoreFollower::livenessHandlers()
 {
     return {
         .onList = [this](const ObjectList&) {
-            noteAnswer();
-            if (!std::exchange(m_isSilent, false))
+            recordStoreAnswer();
+            if (!std::exchange(m_isUnresponsive, false))
                 return;
             m_routes.restart();
             m_outages.restart(); },
         .onChanges = [](const ObjectList&) {},
         .onTrouble = [this](PlatformError) {
-            m_isSilent = true;
-            noteTrouble(); },
+            m_isUnresponsive = true;
+            recordStoreFailure(); },
     };
 }
 
-void StoreFollower::takeRoutes(const ObjectList& objects)
+void StoreFollower::updateRoutes(const ObjectList& objects)
 {
-    noteAnswer();
+    recordStoreAnswer();
     for (const PlatformObject& object : objects.objects) {
         DecodeError error = DecodeError::None;
         if (auto routes = m_adapter.readRoutes(object, error))
-            m_network.takeRoutes(std::move(*routes));
+            m_network.updateRoutes(std::move(*routes));
         else if (error != DecodeError::None)
             logForeignObject(m_adapter.routesKind, object.name, error);
     }
 }
 
-void StoreFollower::takeOutages(const ObjectList& changes)
+void StoreFollower::updateOutages(const ObjectList& changes)
 {
-    noteAnswer();
+    recordStoreAnswer();
     for (const PlatformObject& object : changes.objects) {
         if (object.name.empty()) {
             logForeignObject(m_adapter.outagesKind, object.name, DecodeError::BadText);
             continue;
         }
-        std::erase(m_out, object.name);
+        std::erase(m_outDataCentres, object.name);
         if (object.value)
-            m_out.push_back(object.name);
+            m_outDataCentres.push_back(object.name);
     }
-    m_network.takeOutages({ .revision = changes.version, .out = m_out });
+    m_network.updateOutages({ .revision = changes.version, .out = m_outDataCentres });
 }
 
-void StoreFollower::takeAgents(const ObjectList& objects)
+void StoreFollower::updateAgents(const ObjectList& objects)
 {
-    noteAnswer();
+    recordStoreAnswer();
     std::vector<PeerEntry> entries;
     std::map<std::string, ObjectVersion> leftBehind;
     for (const PlatformObject& object : objects.objects) {
@@ -145,7 +145,7 @@
         if (isStaleListing(m_network.directory(), *entry))
             leftBehind[object.name] = object.version;
     }
-    m_network.takeEntries(entries);
+    m_network.updateEntries(entries);
     removeLeftBehind(leftBehind);
 }
 
@@ -157,27 +157,27 @@
         const auto before = m_leftBehind.find(name);
         if (before == m_leftBehind.end() || before->second != version)
             continue;
-        m_cleaner.remove(agentKind, name, version, [peer = name](const std::optional<ObjectVersion>&, PlatformError reason) {
+        m_removalClient.remove(agentKind, name, version, [peer = name](const std::optional<ObjectVersion>&, PlatformError reason) {
             logEvent(Event::LeftBehindRemoved, { { "peer", peer }, { "outcome", nameOf(reason) } });
         });
     }
     m_leftBehind = leftBehind;
 }
 
-void StoreFollower::noteTrouble()
+void StoreFollower::recordStoreFailure()
 {
     const PlatformError reason = lastReason();
-    if (reason == PlatformError::None || m_loggedTrouble != PlatformError::None)
+    if (reason == PlatformError::None || m_loggedError != PlatformError::None)
         return;
-    m_loggedTrouble = reason;
+    m_loggedError = reason;
     logEvent(Event::PlatformTrouble, { { "reason", nameOf(reason) } });
 }
 
-void StoreFollower::noteAnswer()
+void StoreFollower::recordStoreAnswer()
 {
-    if (m_loggedTrouble == PlatformError::None)
+    if (m_loggedError == PlatformError::None)
         return;
-    m_loggedTrouble = PlatformError::None;
+    m_loggedError = PlatformError::None;
     logEvent(Event::PlatformBack);
 }
 
--- a/src/kingcuptraild/packets/storefollower.h
+++ b/src/kingcuptraild/packets/storefollower.h
@@ -19,7 +19,7 @@
     StoreFollower(asio::io_context& context, const PlatformOptions& options, const DeploymentAdapter& adapter, PeerNetwork& network);
 
     /// Whether the configuration and outages passed on are those that the store holds now, as far as a pending watch can tell.
-    bool isCurrent() const { return m_routes.isCurrent() && m_outages.isCurrent() && m_pulse.isCurrent(); }
+    bool isCurrent() const { return m_routes.isCurrent() && m_outages.isCurrent() && m_livenessCheck.isCurrent(); }
 
     /// The last failure of the first watcher that has one, or None.
     PlatformError lastReason() const;
@@ -29,29 +29,29 @@
     KindWatcher::Handlers routesHandlers();
     KindWatcher::Handlers outagesHandlers();
     KindWatcher::Handlers agentsHandlers();
-    KindWatcher::Handlers pulseHandlers();
-    void takeRoutes(const ObjectList& objects);
-    void takeOutages(const ObjectList& changes);
-    void takeAgents(const ObjectList& objects);
+    KindWatcher::Handlers livenessHandlers();
+    void updateRoutes(const ObjectList& objects);
+    void updateOutages(const ObjectList& changes);
+    void updateAgents(const ObjectList& objects);
     void removeLeftBehind(const std::map<std::string, ObjectVersion>& leftBehind);
-    void noteTrouble();
-    void noteAnswer();
+    void recordStoreFailure();
+    void recordStoreAnswer();
 
     const DeploymentAdapter& m_adapter;
     PeerNetwork& m_network;
     /// Data centres that are marked as out in the store.
-    std::vector<std::string> m_out;
-    PlatformError m_loggedTrouble = PlatformError::None;
+    std::vector<std::string> m_outDataCentres;
+    PlatformError m_loggedError = PlatformError::None;
     KindWatcher m_routes;
     KindWatcher m_outages;
     KindWatcher m_agents;
     /// Liveness check: a periodic call that the store answers at once. A pending watch cannot tell a store that no longer
     /// answers this host from one without changes.
-    KindWatcher m_pulse;
-    bool m_isSilent = false;
+    KindWatcher m_livenessCheck;
+    bool m_isUnresponsive = false;
     /// Entries of processes that are gone, with their versions, as of the last listing.
     std::map<std::string, ObjectVersion> m_leftBehind;
-    PlatformClient m_cleaner;
+    PlatformClient m_removalClient;
 };
 
 }
--- a/src/kingcuptraild/packets/upstreamcontact.cpp
+++ b/src/kingcuptraild/packets/upstreamconnectcheck.cpp
@@ -1,13 +1,13 @@
-#include "upstreamcontact.h"
+#include "upstreamconnectcheck.h"
 
 namespace kingcuptrail {
 
-UpstreamContact::UpstreamContact(asio::io_context& context)
+UpstreamConnectCheck::UpstreamConnectCheck(asio::io_context& context)
     : m_socket(context)
 {
 }
 
-void UpstreamContact::attempt(const asio::ip::tcp::endpoint& upstream, std::function<void(ConnectionOutcome)> onDone)
+void UpstreamConnectCheck::attempt(const asio::ip::tcp::endpoint& upstream, std::function<void(ConnectionOutcome)> onDone)
 {
     if (m_isBusy)
         return;
--- a/src/kingcuptraild/packets/upstreamcontact.h
+++ b/src/kingcuptraild/packets/upstreamconnectcheck.h
@@ -10,9 +10,9 @@
 
 /// Checks with a TCP connection whether a process listens at the upstream's address. No data is sent: it is enough to know
 /// whether the connection is accepted or refused.
-class UpstreamContact {
+class UpstreamConnectCheck {
 public:
-    explicit UpstreamContact(asio::io_context& context);
+    explicit UpstreamConnectCheck(asio::io_context& context);
 
     /// Connects and closes the connection; does nothing while an attempt is in progress. `onDone` is not called after this
     /// object is destroyed.
--- a/tests/daemon/testagentannouncement.cpp
+++ b/tests/daemon/testagentannouncement.cpp
@@ -96,7 +96,7 @@
     {
         announce();
         constexpr Millis oldest = 50;
-        AgentAnnouncement next(m_context, m_options, { .oldestAnswer = oldest });
+        AgentAnnouncement next(m_context, m_options, { .rereadDelay = oldest });
         bool isFound = false;
         next.setOnFound([&isFound](const PeerEntry&) { isFound = true; });
         next.write(entry());
--- a/tests/trustplatform/testpacketagent.cpp
+++ b/tests/trustplatform/testpacketagent.cpp
@@ -12,13 +12,13 @@
 /// One agent with its upstream's addresses, a store, and a peer that sends it questions and receives its gossip.
 class TestPacketAgent : public PlatformFixture {
     CPPUNIT_TEST_SUITE(TestPacketAgent);
-    CPPUNIT_TEST(endsWithoutItsAddresses);
-    CPPUNIT_TEST(leaverStaysGoneWhileTheStoreIsAway);
-    CPPUNIT_TEST(missingUpstreamWithdrawsAnEntryThatOnlyTheStoreKnows);
-    CPPUNIT_TEST(agentStoppedBeforeItKnowsWithdrawsItsEntry);
-    CPPUNIT_TEST(probeOfAKnownFlowIsAnswered);
-    CPPUNIT_TEST(agentBringsAPacketToItsNeighbours);
-    CPPUNIT_TEST(unsureAgentAsksItsNeighboursStill);
+    CPPUNIT_TEST(startFailsWhenAddressesAreTaken);
+    CPPUNIT_TEST(agentStaysGoneWhileStoreIsDown);
+    CPPUNIT_TEST(withdrawsStoredEntryOfMissingUpstream);
+    CPPUNIT_TEST(withdrawsEntryWhenStoppedBeforeUpstreamCheck);
+    CPPUNIT_TEST(answersProbeOfKnownFlow);
+    CPPUNIT_TEST(copiesProbeToNeighbours);
+    CPPUNIT_TEST(unsureAgentQueriesNeighbours);
     CPPUNIT_TEST_SUITE_END();
 
     struct Agent {
@@ -78,7 +78,7 @@
     }
 
     /// The agent's state in the peer's directory.
-    static std::optional<PeerState> stateIn(const PeerNetwork& peer)
+    static std::optional<PeerState> agentStateIn(const PeerNetwork& peer)
     {
         const auto& entries = peer.directory().entries;
         const auto found = entries.find("agent-1");
@@ -94,7 +94,7 @@
         };
     }
 
-    void endsWithoutItsAddresses()
+    void startFailsWhenAddressesAreTaken()
     {
         const Settings settings = settingsOf("agent-1", 1, freePort());
         const Agent first(m_context, settings, m_options);
@@ -106,7 +106,7 @@
     // Guards against an agent that announces itself again after it has announced that it is gone. While the store was down,
     // the agent waited for the withdrawal of its entry, and its next periodic announcement said "draining" with a newer
     // epoch. The process then ended, so peers kept waiting for its answers and its entry stayed in the store.
-    void leaverStaysGoneWhileTheStoreIsAway()
+    void agentStaysGoneWhileStoreIsDown()
     {
         const std::uint16_t port = freePort();
         Agent agent(m_context, settingsOf("agent-1", 1, port), m_options);
@@ -115,22 +115,22 @@
         PeerNetwork peer(m_context, peerSettings, clock);
         CPPUNIT_ASSERT(peer.start({ .onFlowMessage = [](const PeerMessage&, std::uint32_t) {}, .onOutages = [](const std::vector<std::string>&) {} }));
         report(agent, "ready");
-        runUntil(m_context, [&peer] { return stateIn(peer) == PeerState::Ready; });
+        runUntil(m_context, [&peer] { return agentStateIn(peer) == PeerState::Ready; });
         report(agent, "draining");
-        runUntil(m_context, [&peer] { return stateIn(peer) == PeerState::Draining; });
+        runUntil(m_context, [&peer] { return agentStateIn(peer) == PeerState::Draining; });
         m_server->setFaults({ .down = true });
         agent.agent.shutDown([] {});
-        runUntil(m_context, [&peer] { return stateIn(peer) == PeerState::Gone; });
+        runUntil(m_context, [&peer] { return agentStateIn(peer) == PeerState::Gone; });
         // Waits for gossip that is sent several rounds later. The agent's own periodic work runs more often than that.
         constexpr Millis someRounds = 600;
-        const Millis goneAt = peer.lastNewsAt();
-        runUntil(m_context, [&peer, goneAt] { return peer.lastNewsAt() > goneAt + someRounds; });
-        CPPUNIT_ASSERT(stateIn(peer) == PeerState::Gone);
+        const Millis goneAt = peer.lastGossipAt();
+        runUntil(m_context, [&peer, goneAt] { return peer.lastGossipAt() > goneAt + someRounds; });
+        CPPUNIT_ASSERT(agentStateIn(peer) == PeerState::Gone);
     }
 
     // Guards against the store entry of a host that restarted without its upstream and was then removed: processes that read
     // the entry later would keep every search for a lost flow open, waiting for that agent.
-    void missingUpstreamWithdrawsAnEntryThatOnlyTheStoreKnows()
+    void withdrawsStoredEntryOfMissingUpstream()
     {
         const std::uint16_t port = freePort();
         const PeerEntry former { .name = "agent-1", .address = host(1).to_uint(), .dataCentre = "north", .service = "board", .slots = 5, .epoch = 1000 };
@@ -140,18 +140,18 @@
         const Clock clock;
         PeerNetwork peer(m_context, peerSettings, clock);
         CPPUNIT_ASSERT(peer.start({ .onFlowMessage = [](const PeerMessage&, std::uint32_t) {}, .onOutages = [](const std::vector<std::string>&) {} }));
-        runUntil(m_context, [&peer] { return stateIn(peer) == PeerState::Gone; });
+        runUntil(m_context, [&peer] { return agentStateIn(peer) == PeerState::Gone; });
         runUntil(m_context, [this] { return !m_server->store().get("agent", "agent-1"); });
-        peer.takeEntry(former);
-        CPPUNIT_ASSERT(stateIn(peer) == PeerState::Gone);
+        peer.updateEntry(former);
+        CPPUNIT_ASSERT(agentStateIn(peer) == PeerState::Gone);
         report(agent, "ready");
-        runUntil(m_context, [&peer] { return stateIn(peer) == PeerState::Ready; });
+        runUntil(m_context, [&peer] { return agentStateIn(peer) == PeerState::Ready; });
         runUntil(m_context, [this] { return m_server->store().get("agent", "agent-1").has_value(); });
     }
 
     // Guards against the directory entry of a host that restarted without its upstream and was removed at once: every search
     // for a lost flow would wait for its agent until each balancer had noticed by itself that the agent is silent.
-    void agentStoppedBeforeItKnowsWithdrawsItsEntry()
+    void withdrawsEntryWhenStoppedBeforeUpstreamCheck()
     {
         const std::uint16_t port = freePort();
         const PeerEntry former { .name = "agent-1", .address = host(1).to_uint(), .dataCentre = "north", .service = "board", .slots = 5, .epoch = 1000 };
@@ -161,26 +161,26 @@
         PeerNetwork peer(m_context, peerSettings, clock);
         CPPUNIT_ASSERT(peer.start({ .onFlowMessage = [](const PeerMessage&, std::uint32_t) {}, .onOutages = [](const std::vector<std::string>&) {} }));
         peer.announce({ .name = "front-1", .role = PeerRole::Balancer, .address = host(2).to_uint(), .dataCentre = "north" });
-        peer.takeEntry(former);
+        peer.updateEntry(former);
         bool isDone = false;
         agent->agent.shutDown([&isDone] { isDone = true; });
         runUntil(m_context, [&isDone] { return isDone; });
         agent.reset();
-        runUntil(m_context, [&peer] { return stateIn(peer) == PeerState::Gone; });
+        runUntil(m_context, [&peer] { return agentStateIn(peer) == PeerState::Gone; });
     }
 
     // An agent that was restarted beside its upstream learns a flow when the upstream keeps the first probe. Guards against
     // further probes of that flow without an answer: a balancer that does not have the flow in its cache waits for one.
-    void probeOfAKnownFlowIsAnswered()
+    void answersProbeOfKnownFlow()
     {
         const std::uint16_t port = freePort();
         Agent agent(m_context, settingsOf("agent-1", 1, port), m_options);
         const Settings peerSettings = settingsOf("front-1", 2, port);
         const Clock clock;
         PeerNetwork peer(m_context, peerSettings, clock);
-        unsigned yes = 0;
+        unsigned heldAnswers = 0;
         CPPUNIT_ASSERT(peer.start({
-            .onFlowMessage = [&yes](const PeerMessage& message, std::uint32_t) { yes += message.kind == wire::PeerKind::Held ? 1 : 0; },
+            .onFlowMessage = [&heldAnswers](const PeerMessage& message, std::uint32_t) { heldAnswers += message.kind == wire::PeerKind::Held ? 1 : 0; },
             .onOutages = [](const std::vector<std::string>&) {},
         }));
         m_sequence = 70;
@@ -190,7 +190,7 @@
         const FlowKey flow = flowFromCaller(*trustAdapter().decodePacket(packet, error));
         for (unsigned expected = 1; expected <= 3; ++expected) {
             peer.send(host(1).to_uint(), { .kind = wire::PeerKind::Probe, .flow = flow, .packet = packet });
-            runUntil(m_context, [&yes, expected] { return yes == expected; });
+            runUntil(m_context, [&heldAnswers, expected] { return heldAnswers == expected; });
         }
     }
 
@@ -213,7 +213,7 @@
             network.announce({ .name = settings.name, .role = role, .address = settings.listen.address().to_v4().to_uint(), .dataCentre = settings.dataCentre });
         }
 
-        bool wasSent(wire::PeerKind kind) const { return std::ranges::find(received, kind) != received.end(); }
+        bool hasReceived(wire::PeerKind kind) const { return std::ranges::find(received, kind) != received.end(); }
 
         Settings settings;
         Clock clock;
@@ -224,7 +224,7 @@
 
     /// Asks agent-1, which does not know the flow, for its whole data centre, with or without a packet. Checks that its
     /// neighbour, which holds the flow, receives a message of the kind `expected` and is named as holder in the answer.
-    void expectNeighbourIsAsked(std::span<const std::uint8_t> packet, wire::PeerKind expected)
+    void expectNeighbourReceives(std::span<const std::uint8_t> packet, wire::PeerKind expected)
     {
         const std::uint16_t port = freePort();
         Agent agent(m_context, settingsOf("agent-1", 1, port), m_options);
@@ -232,29 +232,29 @@
         Neighbour balancer(m_context, settingsOf("front-1", 3, port), PeerRole::Balancer, false);
         m_sequence = 70;
         report(agent, "ready");
-        runUntil(m_context, [&] { return stateIn(neighbour.network).has_value() && stateIn(balancer.network).has_value() && balancer.network.directory().entries.size() == 3; });
+        runUntil(m_context, [&] { return agentStateIn(neighbour.network).has_value() && agentStateIn(balancer.network).has_value() && balancer.network.directory().entries.size() == 3; });
         DecodeError error = DecodeError::None;
         const FlowKey flow = flowFromCaller(*trustAdapter().decodePacket(callerPacket(), error));
         balancer.network.send(host(1).to_uint(), { .kind = wire::PeerKind::FindNear, .flow = flow, .packet = packet });
         runUntil(m_context, [&] { return balancer.holder != 0; });
         CPPUNIT_ASSERT_EQUAL(host(2).to_uint(), balancer.holder);
-        CPPUNIT_ASSERT(neighbour.wasSent(expected));
+        CPPUNIT_ASSERT(neighbour.hasReceived(expected));
     }
 
     // When all agents were restarted beside their upstreams, only a packet of a flow shows which upstream holds it. Guards
     // against a packet that reaches only the agent to which the balancer sent it: that agent has to copy it to the others of
     // its data centre, because the balancer's link is too small for a copy to each of them.
-    void agentBringsAPacketToItsNeighbours()
+    void copiesProbeToNeighbours()
     {
-        expectNeighbourIsAsked(callerPacket(), wire::PeerKind::Probe);
+        expectNeighbourReceives(callerPacket(), wire::PeerKind::Probe);
     }
 
     // Some seconds after such a restart agents have learnt active flows again but cannot yet deny others. Guards against an
     // agent that answers for its data centre that it is unsure without asking its neighbours: the packet is then copied to all
     // agents although one of them knows the flow.
-    void unsureAgentAsksItsNeighboursStill()
+    void unsureAgentQueriesNeighbours()
     {
-        expectNeighbourIsAsked({}, wire::PeerKind::Find);
+        expectNeighbourReceives({}, wire::PeerKind::Find);
     }
 
     std::uint64_t m_sequence = 0;
--- a/tests/trustplatform/testpeerlookup.cpp
+++ b/tests/trustplatform/testpeerlookup.cpp
@@ -8,8 +8,8 @@
 
 class TestPeerLookup : public PlatformFixture {
     CPPUNIT_TEST_SUITE(TestPeerLookup);
-    CPPUNIT_TEST(viewComesFromAPeerThatOnlyTheStoreNames);
-    CPPUNIT_TEST(processThatHasHeardNewsDoesNotLook);
+    CPPUNIT_TEST(fetchesViewFromPeerNamedInStore);
+    CPPUNIT_TEST(skipsLookupAfterGossip);
     CPPUNIT_TEST_SUITE_END();
 
     static asio::ip::address_v4 host(unsigned char number)
@@ -37,34 +37,34 @@
 
     // Guards against balancers that each read the whole store because their seeds start last: an agent that the store names
     // already has the view.
-    void viewComesFromAPeerThatOnlyTheStoreNames()
+    void fetchesViewFromPeerNamedInStore()
     {
         const std::uint16_t port = freePort();
         Process agent(m_context, 1, port);
-        agent.network.takeRoutes({ .version = 7, .routes = {}, .services = {} });
+        agent.network.updateRoutes({ .version = 7, .routes = {}, .services = {} });
         const PeerEntry entry { .name = "agent-1", .address = host(1).to_uint(), .dataCentre = "north", .service = "board", .epoch = 3 };
         m_server->store().put("agent", entry.name, toJson(entry), 0);
         Process balancer(m_context, 2, port);
         PeerLookup lookup(m_context, m_options, balancer.network);
-        lookup.turn(0);
+        lookup.tick(0);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t { 0 }, lookup.callsMade());
         constexpr Millis someTime = 100;
-        lookup.turn(someTime);
+        lookup.tick(someTime);
         runUntil(m_context, [&balancer] { return balancer.network.routes().version == 7; });
-        lookup.turn(2 * someTime);
+        lookup.tick(2 * someTime);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t { 1 }, lookup.callsMade());
     }
 
-    void processThatHasHeardNewsDoesNotLook()
+    void skipsLookupAfterGossip()
     {
         const std::uint16_t port = freePort();
         Process first(m_context, 1, port);
         Process second(m_context, 2, port);
-        first.network.takeEntries({ { .name = "process-2", .address = host(2).to_uint(), .epoch = 3 } });
-        first.network.askSome(1);
-        runUntil(m_context, [&first] { return first.network.lastNewsAt() != 0; });
+        first.network.updateEntries({ { .name = "process-2", .address = host(2).to_uint(), .epoch = 3 } });
+        first.network.requestGossip(1);
+        runUntil(m_context, [&first] { return first.network.lastGossipAt() != 0; });
         PeerLookup lookup(m_context, m_options, first.network);
-        lookup.turn(1000);
+        lookup.tick(1000);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t { 0 }, lookup.callsMade());
     }
 };
--- a/tests/trustplatform/testpeernetwork.cpp
+++ b/tests/trustplatform/testpeernetwork.cpp
@@ -11,10 +11,10 @@
 /// Processes that exchange views with each other or with a simulated peer.
 class TestPeerNetwork : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(TestPeerNetwork);
-    CPPUNIT_TEST(configurationArrivesOverAThinLink);
-    CPPUNIT_TEST(peerThatDoesNotAnswerIsLeftSoon);
-    CPPUNIT_TEST(processesLearnFromEachOtherWhatTheyLack);
-    CPPUNIT_TEST(processThatKnowsNobodyLearnsEverybody);
+    CPPUNIT_TEST(configurationArrivesOverSlowLink);
+    CPPUNIT_TEST(fetchFromPausedPeerIsAbandoned);
+    CPPUNIT_TEST(directoriesConverge);
+    CPPUNIT_TEST(newProcessLearnsWholeDirectory);
     CPPUNIT_TEST_SUITE_END();
 
     static asio::ip::address_v4 host(unsigned char number)
@@ -48,13 +48,13 @@
     };
 
     /// A simulated peer that names a newer configuration and sends its view in pieces with pauses, or not at all.
-    class ThinPeer {
+    class SlowPeer {
     public:
-        ThinPeer(asio::io_context& context, unsigned char number, std::uint16_t port)
+        SlowPeer(asio::io_context& context, unsigned char number, std::uint16_t port)
             : m_acceptor(context, { host(number), port })
             , m_connection(context)
             , m_pause(context)
-            , m_news(context, { host(number), port })
+            , m_gossipSocket(context, { host(number), port })
         {
             m_acceptor.async_accept(m_connection, [this](const asio::error_code& error) {
                 m_hasConnection = !error;
@@ -71,12 +71,12 @@
             m_pauseTime = pause;
         }
 
-        void nameItsVersion(const asio::ip::udp::endpoint& receiver)
+        void sendVersion(const asio::ip::udp::endpoint& receiver)
         {
             PeerMessageEncoder encoder;
             const OutageView outages;
             const auto bytes = encoder.encode(NewsMessage { .configVersion = version, .outages = &outages, .entries = {}, .readers = {} });
-            m_news.send_to(asio::buffer(bytes.data(), bytes.size()), receiver);
+            m_gossipSocket.send_to(asio::buffer(bytes.data(), bytes.size()), receiver);
         }
 
         bool hasConnection() const { return m_hasConnection; }
@@ -96,7 +96,7 @@
         asio::ip::tcp::acceptor m_acceptor;
         asio::ip::tcp::socket m_connection;
         Delay m_pause;
-        asio::ip::udp::socket m_news;
+        asio::ip::udp::socket m_gossipSocket;
         std::string m_answer;
         std::size_t m_sent = 0;
         std::size_t m_pieces = 0;
@@ -106,26 +106,26 @@
 
     // Guards against a time limit for a whole fetch that a slow link cannot meet: the same bytes were sent again and again and
     // filled the link, and the configuration never arrived.
-    void configurationArrivesOverAThinLink()
+    void configurationArrivesOverSlowLink()
     {
         const std::uint16_t port = freePort();
         Process process(m_context, 1, port);
-        ThinPeer peer(m_context, 2, port);
+        SlowPeer peer(m_context, 2, port);
         constexpr std::size_t pieces = 8;
         constexpr Millis pause = 100;
         peer.sendInPieces(pieces, pause);
-        peer.nameItsVersion({ host(1), port });
-        runUntil(m_context, [&process] { return process.network.routes().version == ThinPeer::version; });
+        peer.sendVersion({ host(1), port });
+        runUntil(m_context, [&process] { return process.network.routes().version == SlowPeer::version; });
         CPPUNIT_ASSERT(process.metrics().find(R"(reason="viewFetchFailed"} 0)") != std::string::npos);
     }
 
     // Guards against a process that stays behind because the peer from which it fetches the view is paused.
-    void peerThatDoesNotAnswerIsLeftSoon()
+    void fetchFromPausedPeerIsAbandoned()
     {
         const std::uint16_t port = freePort();
         Process process(m_context, 1, port);
-        ThinPeer peer(m_context, 2, port);
-        peer.nameItsVersion({ host(1), port });
+        SlowPeer peer(m_context, 2, port);
+        peer.sendVersion({ host(1), port });
         runUntil(m_context, [&peer] { return peer.hasConnection(); });
         const Millis connectedAt = process.clock.now();
         runUntil(m_context, [&process] { return process.metrics().find(R"(reason="viewFetchFailed"} 1)") != std::string::npos; });
@@ -143,29 +143,29 @@
 
     // Guards against a process that has just started and keeps an almost empty directory: only the peer sees how large the
     // difference is, but it lacks almost nothing itself and so fetches nothing.
-    void processThatKnowsNobodyLearnsEverybody()
+    void newProcessLearnsWholeDirectory()
     {
         const std::uint16_t port = freePort();
         Process first(m_context, 1, port);
         Process second(m_context, 2, port);
-        first.network.takeEntries(hundredAgents());
-        second.network.takeEntries({ { .name = "agent-200", .address = host(200).to_uint(), .epoch = 3 } });
+        first.network.updateEntries(hundredAgents());
+        second.network.updateEntries({ { .name = "agent-200", .address = host(200).to_uint(), .epoch = 3 } });
         second.network.compareDirectory(host(1).to_uint());
         runUntil(m_context, [&] { return digestOf(first.network.directory()) == digestOf(second.network.directory()); });
         CPPUNIT_ASSERT_EQUAL(std::size_t { 101 }, first.network.directory().entries.size());
     }
 
     // Guards against directories that stay different when each has an entry that the other lacks.
-    void processesLearnFromEachOtherWhatTheyLack()
+    void directoriesConverge()
     {
         const std::uint16_t port = freePort();
         Process first(m_context, 1, port);
         Process second(m_context, 2, port);
         const std::vector<PeerEntry> known = hundredAgents();
-        first.network.takeEntries(known);
-        second.network.takeEntries(known);
-        first.network.takeEntries({ { .name = "agent-200", .address = host(200).to_uint(), .epoch = 3 } });
-        second.network.takeEntries({ { .name = "agent-10", .address = host(10).to_uint(), .state = PeerState::Gone, .epoch = 4 } });
+        first.network.updateEntries(known);
+        second.network.updateEntries(known);
+        first.network.updateEntries({ { .name = "agent-200", .address = host(200).to_uint(), .epoch = 3 } });
+        second.network.updateEntries({ { .name = "agent-10", .address = host(10).to_uint(), .state = PeerState::Gone, .epoch = 4 } });
         first.network.compareDirectory(host(2).to_uint());
         runUntil(m_context, [&] { return digestOf(first.network.directory()) == digestOf(second.network.directory()); });
         CPPUNIT_ASSERT(first.network.directory().entries.at("agent-10").state == PeerState::Gone);
--- a/tests/trustplatform/teststorefollower.cpp
+++ b/tests/trustplatform/teststorefollower.cpp
@@ -6,8 +6,8 @@
 
 class TestStoreFollower : public PlatformFixture {
     CPPUNIT_TEST_SUITE(TestStoreFollower);
-    CPPUNIT_TEST(silenceOfTheStoreIsNoticed);
-    CPPUNIT_TEST(changeDuringTheSilenceIsTakenAfterIt);
+    CPPUNIT_TEST(detectsUnresponsiveStore);
+    CPPUNIT_TEST(appliesChangeAfterStoreRecovers);
     CPPUNIT_TEST_SUITE_END();
 
     /// A process that follows the store with the long watch times of a real deployment.
@@ -30,15 +30,15 @@
     };
 
     /// Makes the store leave the reader's calls unanswered, including pending watches.
-    void turnAway() { m_server->setFaults({ .down = true, .hang = true, .downFor = "front-1" }); }
+    void stopAnswering() { m_server->setFaults({ .down = true, .hang = true, .downFor = "front-1" }); }
 
     // Guards against a store that stops answering the processes that follow it while connections stay open. A pending watch
     // cannot tell this from a store without changes, so the followers kept reporting that they follow the store, no other
     // process took over, and a new configuration was unknown to the deployment for 9 s.
-    void silenceOfTheStoreIsNoticed()
+    void detectsUnresponsiveStore()
     {
         Reader reader(m_context, m_options);
-        turnAway();
+        stopAnswering();
         const Millis silentAt = reader.clock.now();
         runUntil(m_context, [&reader] { return !reader.follower->isCurrent(); });
         // Leaves 1 s for other processes to take over, since a change has to be in force within 3 s.
@@ -47,10 +47,10 @@
 
     // Guards against a follower that keeps waiting for watches from before an unresponsive phase of the store: the store never
     // answers them.
-    void changeDuringTheSilenceIsTakenAfterIt()
+    void appliesChangeAfterStoreRecovers()
     {
         Reader reader(m_context, m_options);
-        turnAway();
+        stopAnswering();
         runUntil(m_context, [&reader] { return !reader.follower->isCurrent(); });
         m_server->store().put("config", "main", R"({"version":7,"routes":[],"services":[]})", 0);
         m_server->setFaults({});
--- a/tests/trustplatform/testtrustplatform.cpp
+++ b/tests/trustplatform/testtrustplatform.cpp
@@ -7,17 +7,17 @@
 
 class TestTrustPlatform : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(TestTrustPlatform);
-    CPPUNIT_TEST(readsAPacketOfThePages);
-    CPPUNIT_TEST(marksComeOffWithoutATrace);
-    CPPUNIT_TEST(makesTheResetOfThePages);
-    CPPUNIT_TEST(cutPacketsHaveATypedError);
-    CPPUNIT_TEST(readsReports);
-    CPPUNIT_TEST(foreignReportsHaveATypedError);
-    CPPUNIT_TEST(readsTheConfiguration);
-    CPPUNIT_TEST(foreignConfigurationsHaveATypedError);
-    CPPUNIT_TEST(speaksTheStoresApi);
-    CPPUNIT_TEST(oneForeignObjectLeavesTheOthers);
-    CPPUNIT_TEST(timesBeyondAllBoundsAreRefused);
+    CPPUNIT_TEST(decodesDocumentedPacket);
+    CPPUNIT_TEST(clearMarksRestoresPacket);
+    CPPUNIT_TEST(encodesDocumentedReset);
+    CPPUNIT_TEST(rejectsPacketsOfWrongLength);
+    CPPUNIT_TEST(parsesReports);
+    CPPUNIT_TEST(rejectsMalformedReports);
+    CPPUNIT_TEST(parsesConfiguration);
+    CPPUNIT_TEST(rejectsMalformedConfigurations);
+    CPPUNIT_TEST(encodesAndDecodesStoreCalls);
+    CPPUNIT_TEST(malformedObjectDoesNotHideOthers);
+    CPPUNIT_TEST(rejectsOutOfRangeTimes);
     CPPUNIT_TEST(randomBytesNeverCrash);
     CPPUNIT_TEST_SUITE_END();
 
@@ -31,7 +31,7 @@
         };
     }
 
-    void readsAPacketOfThePages()
+    void decodesDocumentedPacket()
     {
         DecodeError error = DecodeError::None;
         const auto head = m_adapter.decodePacket(openingPacket(), error);
@@ -41,7 +41,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint16_t { 0 }, head->dataLength);
     }
 
-    void marksComeOffWithoutATrace()
+    void clearMarksRestoresPacket()
     {
         std::vector<std::uint8_t> packet = openingPacket();
         m_adapter.setMark(packet, 0xdeadbeef);
@@ -53,7 +53,7 @@
         CPPUNIT_ASSERT(packet == openingPacket());
     }
 
-    void makesTheResetOfThePages()
+    void encodesDocumentedReset()
     {
         DecodeError error = DecodeError::None;
         const FlowKey flow = flowFromCaller(*m_adapter.decodePacket(openingPacket(), error));
@@ -63,7 +63,7 @@
         CPPUNIT_ASSERT(m_adapter.encodeReset(flow, 0) == expected);
     }
 
-    void cutPacketsHaveATypedError()
+    void rejectsPacketsOfWrongLength()
     {
         DecodeError error = DecodeError::None;
         std::vector<std::uint8_t> packet = openingPacket();
@@ -78,7 +78,7 @@
         return m_adapter.readUpstreamCall({ .method = "PUT", .target = "/targets/i-7f", .body = body });
     }
 
-    void readsReports()
+    void parsesReports()
     {
         const UpstreamCall call = put(R"({"service":"huvo","address":"10.1.0.9:8080","zone":"lj-a","version":"v1","slots":6,"state":"draining","warmup-left-ms":120.5,"sequence":4,"born":1790000000000,"new":1})");
         CPPUNIT_ASSERT(call.kind == UpstreamCall::Kind::Report && call.report);
@@ -89,7 +89,7 @@
         CPPUNIT_ASSERT(m_adapter.readUpstreamCall({ .method = "GET", .target = "/targets/i-7f" }).kind == UpstreamCall::Kind::Unknown);
     }
 
-    void foreignReportsHaveATypedError()
+    void rejectsMalformedReports()
     {
         CPPUNIT_ASSERT(put("\xff{").error == DecodeError::BadText);
         CPPUNIT_ASSERT(put(R"({"service":"huvo"})").error == DecodeError::MissingField);
@@ -113,7 +113,7 @@
         return m_adapter.readRoutes({ .name = "main", .version = 12, .value = text }, error);
     }
 
-    void readsTheConfiguration()
+    void parsesConfiguration()
     {
         DecodeError error = DecodeError::None;
         const auto table = readRoutes(configText(), error);
@@ -124,7 +124,7 @@
         CPPUNIT_ASSERT(table->services[0].flowLimit == 2000 && table->services[0].warmUp == 2000 && table->services[0].coldRate == 3.5);
     }
 
-    void foreignConfigurationsHaveATypedError()
+    void rejectsMalformedConfigurations()
     {
         DecodeError error = DecodeError::None;
         CPPUNIT_ASSERT(!readRoutes("{", error) && error == DecodeError::BadText);
@@ -135,7 +135,7 @@
         CPPUNIT_ASSERT(!m_adapter.readRoutes({ .name = "other", .value = configText() }, error) && error == DecodeError::None);
     }
 
-    void speaksTheStoresApi()
+    void encodesAndDecodesStoreCalls()
     {
         const StoreDialect& store = *m_adapter.store;
         CPPUNIT_ASSERT_EQUAL(std::string("POST"), store.put("agent", "a b", "{}", 0).method);
@@ -153,7 +153,7 @@
 
     // Guards against a malformed object of another writer (without a spec, without a name, or no object at all) that makes the
     // whole listing unreadable: a process that got no gossip then never learnt of any agent and refused every caller.
-    void oneForeignObjectLeavesTheOthers()
+    void malformedObjectDoesNotHideOthers()
     {
         const StoreDialect& store = *m_adapter.store;
         const auto page = store.readPage(R"({"items":[{"meta":{"name":"a","revision":3}},{"meta":{"revision":"x"},"spec":{}},7,{"meta":{"name":"b","revision":4},"spec":{"x":1}}],"as-of":8})");
@@ -170,7 +170,7 @@
     // Guards against a report whose remaining warm-up time does not fit into an integer of milliseconds. Converting it
     // without a check is undefined behaviour: the upstream counted as cold for ever or not at all. A negative time counts as
     // zero.
-    void timesBeyondAllBoundsAreRefused()
+    void rejectsOutOfRangeTimes()
     {
         const auto putCold = [this](const std::string& time) {
             return put(R"({"service":"s","address":"10.0.0.1:1","zone":"z","slots":1,"state":"ready","sequence":1,"warmup-left-ms":)" + time + "}");
