--- a/bench/kingcuptrail-slopes/fakeagents.h
+++ b/bench/kingcuptrail-slopes/fakeagents.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "kingcuptraild/configkeeper.h"
+#include "kingcuptraild/activeconfig.h"
 #include "kingcuptraild/listener.h"
 #include "kingcuptraild/peerlink.h"
 #include "libplatform/announcer.h"
@@ -26,7 +26,7 @@
 private:
     struct FakeAgent {
         Presence presence;
-        ConfigKeeper config;
+        ActiveConfig config;
         std::unique_ptr<Listener> listener;
         std::unique_ptr<Announcer> announcer;
         std::shared_ptr<PeerLink> link;
--- a/bench/kingcuptrail-slopes/fakebalancers.h
+++ b/bench/kingcuptrail-slopes/fakebalancers.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "kingcuptraild/configkeeper.h"
+#include "kingcuptraild/activeconfig.h"
 #include "kingcuptraild/peerlink.h"
 
 #include <memory>
@@ -25,7 +25,7 @@
 
     asio::io_context& m_context;
     asio::ip::tcp::endpoint m_agent;
-    ConfigKeeper m_config;
+    ActiveConfig m_config;
     std::vector<std::unique_ptr<LinkDialer>> m_dialers;
     std::vector<std::shared_ptr<PeerLink>> m_links;
     FlowId m_lastFlow = 0;
--- a/src/kingcuptraild/configkeeper.cpp
+++ b/src/kingcuptraild/activeconfig.cpp
@@ -1,4 +1,4 @@
-#include "configkeeper.h"
+#include "activeconfig.h"
 
 #include "libdecision/configorder.h"
 #include "libruntime/events.h"
@@ -16,16 +16,16 @@
     constexpr std::uint32_t maxParts = 1024;
 
     /// Wait for the answer to a fetch before another peer may be asked, in milliseconds.
-    constexpr Millis fetchPause = 500;
+    constexpr Millis fetchRetryInterval = 500;
 
 }
 
-void ConfigKeeper::addListener(Listener listener)
+void ActiveConfig::addListener(Listener listener)
 {
     m_listeners.push_back(std::move(listener));
 }
 
-bool ConfigKeeper::offer(Config config)
+bool ActiveConfig::applyIfNewer(Config config)
 {
     if (!supersedes(m_current.version, config.version)) {
         if (config.version < m_current.version) {
@@ -36,14 +36,14 @@
     }
     const Config previous = std::move(m_current);
     m_current = std::move(config);
-    m_history.note(m_current, previous);
+    m_history.record(m_current, previous);
     logEvent(Event::ConfigInForce, { { "version", m_current.version }, { "previous", previous.version } });
     for (const Listener& listener : m_listeners)
         listener(m_current, previous);
     return true;
 }
 
-std::vector<Bytes> ConfigKeeper::snapshotFor(ConfigVersion have) const
+std::vector<Bytes> ActiveConfig::snapshotFor(ConfigVersion have) const
 {
     std::vector<Bytes> frames;
     if (have >= m_current.version)
@@ -62,7 +62,7 @@
     return frames;
 }
 
-void ConfigKeeper::takeSnapshot(const wire::ConfigSnapshot& snapshot)
+void ActiveConfig::receiveSnapshotPart(const wire::ConfigSnapshot& snapshot)
 {
     if (!snapshot.document() || snapshot.version() <= m_current.version || snapshot.part() >= snapshot.parts() || snapshot.parts() > maxParts)
         return;
@@ -70,34 +70,34 @@
     const auto part = parseConfig(snapshot.document()->string_view(), faults);
     if (!part)
         return;
-    const bool isSame = m_assembly.delta.changed.version == snapshot.version() && m_assembly.delta.base == snapshot.base() && m_assembly.hasPart.size() == snapshot.parts();
-    if (!isSame) {
-        m_assembly = {};
-        m_assembly.delta.base = snapshot.base();
-        m_assembly.hasPart.resize(snapshot.parts());
+    const bool isSameSnapshot = m_partialSnapshot.delta.changed.version == snapshot.version() && m_partialSnapshot.delta.base == snapshot.base() && m_partialSnapshot.hasPart.size() == snapshot.parts();
+    if (!isSameSnapshot) {
+        m_partialSnapshot = {};
+        m_partialSnapshot.delta.base = snapshot.base();
+        m_partialSnapshot.hasPart.resize(snapshot.parts());
     }
-    if (m_assembly.hasPart[snapshot.part()])
+    if (m_partialSnapshot.hasPart[snapshot.part()])
         return;
-    m_assembly.hasPart[snapshot.part()] = true;
-    Config& changed = m_assembly.delta.changed;
+    m_partialSnapshot.hasPart[snapshot.part()] = true;
+    Config& changed = m_partialSnapshot.delta.changed;
     changed.version = snapshot.version();
     changed.dataCentres = part->dataCentres;
     changed.services.insert(changed.services.end(), part->services.begin(), part->services.end());
     if (snapshot.removed()) {
         for (const flatbuffers::String* name : *snapshot.removed())
-            m_assembly.delta.removed.push_back(name->str());
+            m_partialSnapshot.delta.removed.push_back(name->str());
     }
-    if (std::find(m_assembly.hasPart.begin(), m_assembly.hasPart.end(), false) != m_assembly.hasPart.end())
+    if (std::find(m_partialSnapshot.hasPart.begin(), m_partialSnapshot.hasPart.end(), false) != m_partialSnapshot.hasPart.end())
         return;
-    auto merged = mergeDelta(m_current, m_assembly.delta);
-    m_assembly = {};
+    auto merged = mergeDelta(m_current, m_partialSnapshot.delta);
+    m_partialSnapshot = {};
     if (merged)
-        offer(std::move(*merged));
+        applyIfNewer(std::move(*merged));
 }
 
-bool ConfigKeeper::mayFetch(Millis now)
+bool ActiveConfig::tryStartFetch(Millis now)
 {
-    if (m_fetchedAt >= 0 && now - m_fetchedAt < fetchPause)
+    if (m_fetchedAt >= 0 && now - m_fetchedAt < fetchRetryInterval)
         return false;
     m_fetchedAt = now;
     return true;
--- a/src/kingcuptraild/agent/activerequest.h
+++ b/src/kingcuptraild/agent/activerequest.h
@@ -49,8 +49,8 @@
     Millis queuedAt = 0;
     Millis startedAt = 0;
     Millis deadline = 0;
-    Millis askedAt = 0;
-    std::uint32_t asks = 0;
+    Millis queriedAt = 0;
+    std::uint32_t queryAttempts = 0;
 
     std::string body;
     std::uint64_t bodyLength = 0;
--- a/src/kingcuptraild/agent/agent.cpp
+++ b/src/kingcuptraild/agent/agent.cpp
@@ -6,7 +6,7 @@
 #include "libdecision/pacing.h"
 #include "libruntime/events.h"
 #include "upstreamprobe.h"
-#include "upstreamwatch.h"
+#include "upstreamrestartdetector.h"
 
 #include <nlohmann/json.hpp>
 
@@ -20,23 +20,23 @@
 
     /// How long an agent that shuts down waits for the platform to remove its announcement, in milliseconds. Balancers know
     /// of the shutdown by then, so an outage of the platform need not delay the host.
-    constexpr Millis withdrawLimit = 1500;
+    constexpr Millis withdrawTimeout = 1500;
 
 }
 
 /// Runs the announcer as a child of the root supervisor.
-class Agent::AnnouncerChild : public Supervised {
+class Agent::SupervisedAnnouncer : public Supervised {
 public:
-    AnnouncerChild(Agent& agent)
+    SupervisedAnnouncer(Agent& agent)
         : m_agent(agent)
-        , m_announcer(agent.m_role.context, agent.m_role.platform, agent.wantedPresence(),
+        , m_announcer(agent.m_role.context, agent.m_role.platform, agent.makePresence(),
               { .onAnnounced = [&agent](const Presence& presence) { agent.handleAnnounced(presence); },
                   .onFenced = [&agent](const OwnerToken& newer) { agent.handleFenced(newer); } })
     {
         m_agent.m_announcer = this;
     }
 
-    ~AnnouncerChild() override { m_agent.m_announcer = nullptr; }
+    ~SupervisedAnnouncer() override { m_agent.m_announcer = nullptr; }
 
     Announcer& announcer() { return m_announcer; }
 
@@ -49,38 +49,38 @@
     : m_role(role)
     , m_flows(role.clock, { .flowSilence = role.settings.agent.flowSilence },
           { .onMessage = [this](FlowId flow, const wire::Message& message) { return m_requests.handleMessage(flow, message); },
-              .onRoom = [this](FlowId flow) { m_requests.flowHasRoom(flow); },
-              .onEnded = [this](FlowId flow) { m_requests.flowEnded(flow); },
-              .isHeld = [this] { return isHeld(); },
+              .onWritable = [this](FlowId flow) { m_requests.handleFlowWritable(flow); },
+              .onEnded = [this](FlowId flow) { m_requests.handleFlowEnded(flow); },
+              .mustDropPackets = [this] { return mustDropPackets(); },
               .hasRequests = [this](FlowId flow) { return m_requests.hasRequests(flow); } })
     , m_requests(role.context, role.clock, { .upstream = role.settings.agent.upstream, .service = role.settings.agent.service },
           { .send = [this](FlowId flow, Bytes message) { return m_flows.send(flow, std::move(message)); },
-              .onContact = [this](bool isConnected) { handleContact(isConnected); },
-              .askLedger = [this](std::uint64_t query, const OwnerToken& holder, const std::string& key) { askLedger(query, holder, key); } })
-    , m_listenAt(role.settings.listen)
+              .onConnectAttempt = [this](bool isConnected) { handleConnectAttempt(isConnected); },
+              .sendLedgerQuery = [this](std::uint64_t query, const OwnerToken& holder, const std::string& key) { sendLedgerQuery(query, holder, key); } })
+    , m_listenEndpoint(role.settings.listen)
     , m_tickTimer(role.context)
     , m_sweepTimer(role.context)
     , m_drainOptions { .idleBeforeClose = role.settings.agent.drainIdle, .limit = role.settings.agent.drainLimit }
 {
     m_role.config.addListener([this](const Config& current, const Config& previous) { handleConfig(current, previous); });
-    m_role.root.add({ .name = "config", .make = [this](const FailureHandler&) { return std::make_unique<ConfigFollower>(m_role, ConfigFollower::Mode::Once); } });
+    m_role.root.add({ .name = "config", .make = [this](const FailureHandler&) { return std::make_unique<SupervisedConfigWatcher>(m_role, SupervisedConfigWatcher::Mode::Once); } });
     m_role.root.add({ .name = "balancers", .make = [this](const FailureHandler& onFailure) {
                          auto listener = std::make_unique<Listener>(
-                             m_role.context, m_listenAt, LinkOptions { .silenceLimit = m_role.settings.linkSilence },
+                             m_role.context, m_listenEndpoint, LinkOptions { .silenceLimit = m_role.settings.linkSilence },
                              [this](std::shared_ptr<Link> link) { acceptBalancer(std::move(link)); }, onFailure);
                          // A restarted listener must bind the announced port again.
-                         m_listenAt.port(listener->port().value_or(m_listenAt.port()));
+                         m_listenEndpoint.port(listener->port().value_or(m_listenEndpoint.port()));
                          return listener;
                      } });
-    m_role.root.add({ .name = "announcer", .make = [this](const FailureHandler&) { return std::make_unique<AnnouncerChild>(*this); } });
+    m_role.root.add({ .name = "announcer", .make = [this](const FailureHandler&) { return std::make_unique<SupervisedAnnouncer>(*this); } });
     m_role.root.add({ .name = "probe", .make = [this](const FailureHandler&) {
                          return std::make_unique<UpstreamProbe>(m_role,
                              UpstreamProbe::Handlers { .onHint = [this](const UpstreamHint& hint) { m_requests.applyHint(hint); },
-                                 .onContact = [this](bool isConnected) { handleContact(isConnected); } });
+                                 .onConnectAttempt = [this](bool isConnected) { handleConnectAttempt(isConnected); } });
                      } });
     m_role.root.add({ .name = "watch", .make = [this](const FailureHandler&) {
-                         return std::make_unique<UpstreamWatch>(m_role,
-                             UpstreamWatch::Handlers { .onContact = [this](bool isConnected) { handleContact(isConnected); },
+                         return std::make_unique<UpstreamRestartDetector>(m_role,
+                             UpstreamRestartDetector::Handlers { .onConnectAttempt = [this](bool isConnected) { handleConnectAttempt(isConnected); },
                                  .onRestart = [this] { restartWarmUp(HttpError::ConnectionLost); } });
                      } });
     startTimers();
@@ -107,12 +107,12 @@
     if (isOut)
         m_isOut = true;
     m_flows.setDataCentreOut(m_isOut);
-    considerReturn();
+    tryReturnToService();
     applyState();
-    beatNow();
+    sendHeartbeats();
 }
 
-void Agent::considerReturn()
+void Agent::tryReturnToService()
 {
     if (m_returnVersion == 0)
         return;
@@ -133,16 +133,16 @@
 // data centre may have been taken out. These requests have also waited longer than a queue should make them, so they are
 // refused and their callers retry elsewhere. The upstream may have been restarted during the pause without being noticed, so
 // it is treated as cold.
-bool Agent::isHeld()
+bool Agent::mustDropPackets()
 {
     const Millis now = m_role.clock.now();
-    const Millis heldBefore = m_pause.dropUntil;
-    recordRun(m_pause, {}, now);
-    if (m_pause.dropUntil != heldBefore) {
+    const Millis previousHoldUntil = m_pauseDetector.dropUntil;
+    recordRun(m_pauseDetector, {}, now);
+    if (m_pauseDetector.dropUntil != previousHoldUntil) {
         m_requests.refuseWaiting(RefusalReason::ExpectedWaitTooLong);
         m_requests.restartWarmUp();
     }
-    return isDroppingPackets(m_pause, now);
+    return isDroppingPackets(m_pauseDetector, now);
 }
 
 void Agent::handleAnnounced(const Presence& presence)
@@ -161,16 +161,16 @@
     logEvent(Event::Fenced, { { "incarnation", m_token.incarnation }, { "newer", newer.incarnation } });
     m_isFenced = true;
     applyState();
-    beatNow();
+    sendHeartbeats();
 }
 
-void Agent::restartWarmUp(HttpError seen)
+void Agent::restartWarmUp(HttpError cause)
 {
     m_requests.restartWarmUp();
-    logEvent(Event::UpstreamCold, { { "limit", currentLimit(m_requests.admission()) }, { "outcome", nameOf(seen) } });
+    logEvent(Event::UpstreamCold, { { "limit", currentLimit(m_requests.admission()) }, { "outcome", nameOf(cause) } });
 }
 
-void Agent::handleContact(bool isConnected)
+void Agent::handleConnectAttempt(bool isConnected)
 {
     if (indicatesReplacement(m_reachability, isConnected))
         restartWarmUp(isConnected ? HttpError::None : HttpError::ConnectFailed);
@@ -178,12 +178,12 @@
         return;
     logEvent(m_reachability.isReachable ? Event::UpstreamReachable : Event::UpstreamUnreachable);
     applyState();
-    beatNow();
+    sendHeartbeats();
 }
 
 void Agent::applyState()
 {
-    m_flows.setDraining(isLeaving());
+    m_flows.setDraining(isDrainingOrFenced());
     if (m_isOut)
         m_requests.setRefuseNew(RefusalReason::DataCentreOut);
     else if (m_isFenced || (m_isDraining && refusesNewWork(m_drainProgress, m_drainOptions, m_role.clock.now())))
@@ -202,16 +202,16 @@
         },
         .onUp = [this](PeerLink& peer) {
             logEvent(Event::LinkUp, { { "peer", peer.peer().name } });
-            m_flows.linkUp(peer.shared_from_this()); },
+            m_flows.addLink(peer.shared_from_this()); },
         .onPacket = [this](PeerLink& peer, const wire::Packet& packet, std::span<const std::uint8_t>) { m_flows.handlePacket(peer.shared_from_this(), packet); },
-        .onLoad = [this](PeerLink&, const LoadReport&) { considerReturn(); },
-        .onLeaving = [](PeerLink& peer, wire::GoodbyeReason) { logEvent(Event::PeerLeaving, { { "peer", peer.peer().name } }); },
-        .onOther = [this](PeerLink& peer, const wire::Frame& frame, std::span<const std::uint8_t>) { handleFrame(peer, frame); },
+        .onLoadReport = [this](PeerLink&, const LoadReport&) { tryReturnToService(); },
+        .onGoodbye = [](PeerLink& peer, wire::GoodbyeReason) { logEvent(Event::PeerLeaving, { { "peer", peer.peer().name } }); },
+        .onOtherFrame = [this](PeerLink& peer, const wire::Frame& frame, std::span<const std::uint8_t>) { handleFrame(peer, frame); },
         .onClosed = [this](PeerLink& peer, LinkError reason) {
             m_closedLinks.increment(reason);
             logEvent(Event::LinkLost, { { "peer", peer.peer().name }, { "reason", nameOf(reason) } });
-            m_flows.linkDown(peer); },
-        .reportLoad = [this] { return report(); },
+            m_flows.removeLink(peer); },
+        .reportLoad = [this] { return loadReport(); },
         .heartbeatInterval = [this] { return heartbeatInterval(m_flows.linkCount(), { .baseInterval = m_role.settings.heartbeat }); },
     };
     wire::HelloT hello = makeHello(m_role.settings, wire::Role::Agent);
@@ -224,15 +224,15 @@
 void Agent::handleFrame(PeerLink& from, const wire::Frame& frame)
 {
     if (const auto* query = frame.body_as_LedgerQuery())
-        answerQuery(from, *query);
+        handleLedgerQuery(from, *query);
     else if (const auto* answer = frame.body_as_LedgerAnswer())
         m_requests.handleLedgerAnswer(answer->query(), readLedgerAnswer(*answer));
 }
 
-void Agent::answerQuery(PeerLink& from, const wire::LedgerQuery& query)
+void Agent::handleLedgerQuery(PeerLink& from, const wire::LedgerQuery& query)
 {
-    const bool isForMe = query.holder_upstream() == m_token.upstream && query.holder_incarnation() == m_token.incarnation;
-    if (!isForMe || !query.key())
+    const bool isHolder = query.holder_upstream() == m_token.upstream && query.holder_incarnation() == m_token.incarnation;
+    if (!isHolder || !query.key())
         return;
     wire::LedgerAnswerT answer = makeLedgerAnswer(m_requests.answerLedgerQuery(query.key()->str()));
     answer.query = query.query();
@@ -241,22 +241,22 @@
     from.send(encodeFrameOf(std::move(answer)));
 }
 
-void Agent::askLedger(std::uint64_t query, const OwnerToken& holder, const std::string& key)
+void Agent::sendLedgerQuery(std::uint64_t query, const OwnerToken& holder, const std::string& key)
 {
-    wire::LedgerQueryT question;
-    question.query = query;
-    question.key = key;
-    question.asker_upstream = m_token.upstream;
-    question.asker_incarnation = m_token.incarnation;
-    question.holder_upstream = holder.upstream;
-    question.holder_incarnation = holder.incarnation;
-    m_flows.sendOverAnyLink(encodeFrameOf(std::move(question)));
+    wire::LedgerQueryT ledgerQuery;
+    ledgerQuery.query = query;
+    ledgerQuery.key = key;
+    ledgerQuery.asker_upstream = m_token.upstream;
+    ledgerQuery.asker_incarnation = m_token.incarnation;
+    ledgerQuery.holder_upstream = holder.upstream;
+    ledgerQuery.holder_incarnation = holder.incarnation;
+    m_flows.sendOverAnyLink(encodeFrameOf(std::move(ledgerQuery)));
 }
 
-void Agent::beatNow()
+void Agent::sendHeartbeats()
 {
     for (const auto& link : m_flows.links())
-        link->heartbeatNow();
+        link->sendHeartbeat();
 }
 
 void Agent::startTimers()
@@ -268,7 +268,7 @@
 void Agent::tick()
 {
     // Detects a pause of this process also while no packets arrive.
-    isHeld();
+    mustDropPackets();
     m_flows.tick();
     m_requests.tick();
     m_tickTimer.expires_after(std::chrono::milliseconds(tickInterval));
@@ -282,8 +282,8 @@
 {
     m_flows.sweep();
     if (m_announcer)
-        m_trouble.note(m_announcer->announcer().lastReason());
-    considerReturn();
+        m_outageLog.update(m_announcer->announcer().lastReason());
+    tryReturnToService();
     if (m_isDraining)
         drain();
     m_sweepTimer.expires_after(std::chrono::milliseconds(sweepInterval));
@@ -300,7 +300,7 @@
     m_drainProgress = { .startedAt = m_role.clock.now(), .announced = true, .announcedAt = m_role.clock.now() };
     applyState();
     // Linked balancers learn of the drain at once from a heartbeat; the state in the platform is for balancers without a link.
-    beatNow();
+    sendHeartbeats();
     if (m_announcer)
         m_announcer->announcer().setState(MemberState::Draining);
 }
@@ -321,27 +321,27 @@
     auto done = std::move(m_onDrained);
     m_onDrained = nullptr;
     if (m_announcer)
-        m_announcer->announcer().withdraw(withdrawLimit, std::move(done));
+        m_announcer->announcer().withdraw(withdrawTimeout, std::move(done));
     else
         done();
 }
 
-Presence Agent::wantedPresence() const
+Presence Agent::makePresence() const
 {
     const AgentSettings& agent = m_role.settings.agent;
-    const asio::ip::tcp::endpoint reachedAt = agent.announce.value_or(m_listenAt);
+    const asio::ip::tcp::endpoint announcedEndpoint = agent.announce.value_or(m_listenEndpoint);
     return {
         .upstream = agent.upstreamName,
         .token = { upstreamIdOf(agent.upstreamName), 0 },
         .service = agent.service,
         .dataCentre = m_role.settings.dataCentre,
-        .address = reachedAt.address().to_string() + ":" + std::to_string(reachedAt.port()),
-        .state = isLeaving() ? MemberState::Draining : MemberState::Serving,
+        .address = announcedEndpoint.address().to_string() + ":" + std::to_string(announcedEndpoint.port()),
+        .state = isDrainingOrFenced() ? MemberState::Draining : MemberState::Serving,
         .lease = agent.lease,
     };
 }
 
-LoadReport Agent::report() const
+LoadReport Agent::loadReport() const
 {
     return {
         .openFlows = static_cast<std::uint32_t>(m_flows.flowCount()),
@@ -356,19 +356,19 @@
 // Balancers place no new flows on an agent that reports Draining, so an agent whose upstream is unreachable reports it too.
 MemberState Agent::state() const
 {
-    return isLeaving() || !m_reachability.isReachable ? MemberState::Draining : MemberState::Serving;
+    return isDrainingOrFenced() || !m_reachability.isReachable ? MemberState::Draining : MemberState::Serving;
 }
 
-std::string Agent::statusMembers() const
+std::string Agent::statusFields() const
 {
-    const LoadReport load = report();
+    const LoadReport load = loadReport();
     const nlohmann::json status {
         { "upstream", m_role.settings.agent.upstreamName },
         { "incarnation", m_token.incarnation },
         { "service", m_role.settings.agent.service },
         { "state", nameOf(load.state) },
         { "fenced", m_isFenced },
-        { "platformTrouble", nameOf(m_trouble.current()) },
+        { "platformTrouble", nameOf(m_outageLog.current()) },
         { "upstreamReachable", m_reachability.isReachable },
         { "dataCentreOut", m_isOut },
         { "links", m_flows.linkCount() },
--- a/src/kingcuptraild/agent/earlierowners.h
+++ b/src/kingcuptraild/agent/earlierownerqueries.h
@@ -11,20 +11,20 @@
 
 /// Queries the earlier owners of resent requests for the outcome of earlier attempts, repeats unanswered queries over other
 /// links, and reports the decision that libdecision makes from the answers.
-class EarlierOwners {
+class EarlierOwnerQueries {
 public:
     using RequestPtr = std::shared_ptr<ActiveRequest>;
 
     struct Hooks {
-        std::function<void(std::uint64_t query, const OwnerToken& holder, const std::string& key)> ask;
+        std::function<void(std::uint64_t query, const OwnerToken& holder, const std::string& key)> sendQuery;
         /// The request did not run elsewhere and will not.
-        std::function<void(const RequestPtr&)> onMayRun;
+        std::function<void(const RequestPtr&)> onClearToRun;
         std::function<void(const RequestPtr&, const RefusalVerdict&)> onRefused;
         /// The request ran, and the queried owner still had its answer.
         std::function<void(const RequestPtr&, const StoredAnswer&)> onAnswered;
     };
 
-    explicit EarlierOwners(Hooks hooks);
+    explicit EarlierOwnerQueries(Hooks hooks);
 
     void begin(const RequestPtr& request, const OwnerToken& own, Millis now);
     void handleAnswer(std::uint64_t query, const LedgerReply& reply);
@@ -38,9 +38,9 @@
         OwnerToken owner;
     };
 
-    void ask(const RequestPtr& request, Millis now);
-    void giveUp(const RequestPtr& request);
-    void consider(const RequestPtr& request);
+    void sendQuery(const RequestPtr& request, Millis now);
+    void markUnansweredUnreachable(const RequestPtr& request);
+    void decide(const RequestPtr& request);
 
     Hooks m_hooks;
     std::unordered_map<std::uint64_t, Query> m_queries;
--- a/src/kingcuptraild/agent/flowtable.cpp
+++ b/src/kingcuptraild/agent/flowtable.cpp
@@ -41,19 +41,19 @@
     logEvent(Event::FlowsGivenUp, { { "flows", ids.size() } });
 }
 
-void FlowTable::linkUp(std::shared_ptr<PeerLink> link)
+void FlowTable::addLink(std::shared_ptr<PeerLink> link)
 {
     m_links.push_back(std::move(link));
 }
 
-void FlowTable::linkDown(const PeerLink& link)
+void FlowTable::removeLink(const PeerLink& link)
 {
     std::erase_if(m_links, [&](const auto& known) { return known.get() == &link; });
 }
 
 void FlowTable::handlePacket(const std::shared_ptr<PeerLink>& from, const wire::Packet& packet)
 {
-    if (m_hooks.isHeld()) {
+    if (m_hooks.mustDropPackets()) {
         m_actions.increment(PacketAction::Drop);
         return;
     }
@@ -73,10 +73,10 @@
         open(from, packet);
         return;
     case PacketAction::ForwardToOwner:
-        passOn(from, packet, false);
+        forwardToBalancer(from, packet, false);
         return;
     case PacketAction::NextInRanking:
-        passOn(from, packet, true);
+        forwardToBalancer(from, packet, true);
         return;
     case PacketAction::ReplyReset:
         if (isResettable(packet))
@@ -116,9 +116,9 @@
     flow.source = packet.source();
     flow.service = packet.service();
     flow.openedAt = now;
-    flow.heardAt = now;
+    flow.lastPacketAt = now;
     flow.idleSince = now;
-    flow.path = from;
+    flow.returnLink = from;
     ++m_opened;
     sendOpened(flow);
 }
@@ -126,8 +126,8 @@
 void FlowTable::deliver(const std::shared_ptr<PeerLink>& from, Flow& flow, const wire::Packet& packet)
 {
     const Millis now = m_clock.now();
-    flow.heardAt = now;
-    flow.path = from;
+    flow.lastPacketAt = now;
+    flow.returnLink = from;
     if (packet.kind() == wire::PacketKind::Open) {
         sendOpened(flow);
         return;
@@ -138,16 +138,16 @@
     }
     flow.isConfirmed = true;
     flow.endpoint.acknowledge(packet.acknowledged(), now);
-    flow.ackOwed = true;
+    flow.ackPending = true;
     const FlowId id = flow.id;
     if (packet.kind() == wire::PacketKind::Segment && packet.payload()) {
         flow.endpoint.receive(packet.sequence(), Bytes(packet.payload()->begin(), packet.payload()->end()));
         deliverMessages(id);
     }
     Flow* still = find(id);
-    if (still && still->needsRoom && still->endpoint.hasRoom()) {
-        still->needsRoom = false;
-        m_hooks.onRoom(id);
+    if (still && still->isSendBlocked && still->endpoint.hasRoom()) {
+        still->isSendBlocked = false;
+        m_hooks.onWritable(id);
         still = find(id);
     }
     if (still)
@@ -171,12 +171,12 @@
 
 // Another agent holds the flow, or may hold it, so the packet goes back to a balancer, which knows more agents than this
 // one. The balancer that sent the packet is avoided if there is another one, since its member list led to this agent.
-void FlowTable::passOn(const std::shared_ptr<PeerLink>& from, const wire::Packet& packet, bool visitedMe)
+void FlowTable::forwardToBalancer(const std::shared_ptr<PeerLink>& from, const wire::Packet& packet, bool markVisited)
 {
     std::unique_ptr<wire::PacketT> onward(packet.UnPack());
     onward->bounced = true;
     ++onward->hops;
-    if (visitedMe)
+    if (markVisited)
         onward->visited.push_back(m_token.upstream);
     std::shared_ptr<PeerLink> next = anyLink();
     for (std::size_t tries = 0; tries < m_links.size() && next == from; ++tries)
@@ -197,7 +197,7 @@
     if (!flow)
         return true;
     if (!flow->endpoint.send(std::move(message))) {
-        flow->needsRoom = true;
+        flow->isSendBlocked = true;
         return false;
     }
     flow->idleSince = m_clock.now();
@@ -233,7 +233,7 @@
         packet.payload = *segment.payload;
         sendOnFlow(flow, std::move(packet));
     }
-    if (flow.ackOwed) {
+    if (flow.ackPending) {
         wire::PacketT packet;
         packet.kind = wire::PacketKind::Ack;
         sendOnFlow(flow, std::move(packet));
@@ -257,26 +257,26 @@
     packet.owner_upstream = m_token.upstream;
     packet.owner_incarnation = m_token.incarnation;
     packet.acknowledged = flow.endpoint.receivedUpTo();
-    flow.ackOwed = false;
-    if (const auto link = pathOf(flow))
+    flow.ackPending = false;
+    if (const auto link = linkFor(flow))
         link->sendPacket(encodeFrameOf(std::move(packet)));
 }
 
-void FlowTable::endFlow(FlowId id, FlowEnd end, RefusalReason tellCaller)
+void FlowTable::endFlow(FlowId id, FlowEnd end, RefusalReason resetReason)
 {
     Flow* flow = find(id);
     if (!flow)
         return;
     m_ends.increment(end);
-    if (tellCaller != RefusalReason::None) {
-        m_resets.increment(tellCaller);
+    if (resetReason != RefusalReason::None) {
+        m_resets.increment(resetReason);
         wire::PacketT reset;
         reset.kind = wire::PacketKind::Reset;
-        reset.reason = static_cast<std::uint8_t>(tellCaller);
+        reset.reason = static_cast<std::uint8_t>(resetReason);
         sendOnFlow(*flow, std::move(reset));
     }
     m_lastClosedAt = m_clock.now();
-    recordClosedFlow(m_closed, m_closedOptions, id, tellCaller == RefusalReason::None ? RefusalReason::FlowUnknown : tellCaller, m_lastClosedAt);
+    recordClosedFlow(m_closed, m_closedOptions, id, resetReason == RefusalReason::None ? RefusalReason::FlowUnknown : resetReason, m_lastClosedAt);
     m_flows.erase(id);
     m_active.erase(id);
     m_hooks.onEnded(id);
@@ -287,7 +287,7 @@
     const Millis now = m_clock.now();
     std::vector<std::pair<FlowId, FlowEnd>> over;
     for (const auto& [id, flow] : m_flows) {
-        if (now - flow.heardAt > m_options.flowSilence)
+        if (now - flow.lastPacketAt > m_options.flowSilence)
             over.emplace_back(id, FlowEnd::Silent);
         else if (!flow.isConfirmed && now - flow.openedAt > m_options.unconfirmedLimit)
             over.emplace_back(id, FlowEnd::Unconfirmed);
@@ -325,9 +325,9 @@
         endFlow(id, FlowEnd::ClosedDraining, reason);
 }
 
-std::shared_ptr<PeerLink> FlowTable::pathOf(const Flow& flow)
+std::shared_ptr<PeerLink> FlowTable::linkFor(const Flow& flow)
 {
-    const auto link = flow.path.lock();
+    const auto link = flow.returnLink.lock();
     return link && link->isUsable() ? link : anyLink();
 }
 
--- a/src/kingcuptraild/agent/flowtable.h
+++ b/src/kingcuptraild/agent/flowtable.h
@@ -58,10 +58,10 @@
         /// Handles a message; false when its kind is not one that a caller may send.
         std::function<bool(FlowId, const wire::Message&)> onMessage;
         /// Called when a flow that refused a message has space in its send queue again.
-        std::function<void(FlowId)> onRoom;
+        std::function<void(FlowId)> onWritable;
         std::function<void(FlowId)> onEnded;
         /// Whether to drop packets, since this process was paused and has not read all waiting messages yet.
-        std::function<bool()> isHeld;
+        std::function<bool()> mustDropPackets;
         /// Whether requests of the flow are in progress.
         std::function<bool(FlowId)> hasRequests;
     };
@@ -76,8 +76,8 @@
     /// Ends every flow when the value becomes true.
     void setDataCentreOut(bool isOut);
 
-    void linkUp(std::shared_ptr<PeerLink> link);
-    void linkDown(const PeerLink& link);
+    void addLink(std::shared_ptr<PeerLink> link);
+    void removeLink(const PeerLink& link);
 
     void handlePacket(const std::shared_ptr<PeerLink>& from, const wire::Packet& packet);
 
@@ -108,25 +108,25 @@
         ServiceAddress service = 0;
         FlowEndpoint endpoint;
         Millis openedAt = 0;
-        Millis heardAt = 0;
+        Millis lastPacketAt = 0;
         Millis idleSince = 0;
-        std::weak_ptr<PeerLink> path;
+        std::weak_ptr<PeerLink> returnLink;
         bool isConfirmed = false;
-        bool ackOwed = false;
-        bool needsRoom = false;
+        bool ackPending = false;
+        bool isSendBlocked = false;
     };
 
     PacketFacts factsOf(const wire::Packet& packet, const Flow* flow) const;
     void open(const std::shared_ptr<PeerLink>& from, const wire::Packet& packet);
     void deliver(const std::shared_ptr<PeerLink>& from, Flow& flow, const wire::Packet& packet);
     void deliverMessages(FlowId id);
-    void passOn(const std::shared_ptr<PeerLink>& from, const wire::Packet& packet, bool visitedMe);
+    void forwardToBalancer(const std::shared_ptr<PeerLink>& from, const wire::Packet& packet, bool markVisited);
     void replyReset(const wire::Packet& packet, RefusalReason reason, Millis retryAfter);
     void sendOpened(Flow& flow);
     void flush(Flow& flow);
     void sendOnFlow(Flow& flow, wire::PacketT packet);
-    void endFlow(FlowId id, FlowEnd end, RefusalReason tellCaller);
-    std::shared_ptr<PeerLink> pathOf(const Flow& flow);
+    void endFlow(FlowId id, FlowEnd end, RefusalReason resetReason);
+    std::shared_ptr<PeerLink> linkFor(const Flow& flow);
     std::shared_ptr<PeerLink> anyLink();
     Flow* find(FlowId id);
 
--- a/src/kingcuptraild/agent/requestscheduler.cpp
+++ b/src/kingcuptraild/agent/requestscheduler.cpp
@@ -25,17 +25,17 @@
     , m_options(std::move(options))
     , m_hooks(std::move(hooks))
     , m_ledger(std::make_unique<Ledger>())
-    , m_earlierOwners(earlierHooks())
+    , m_earlierOwners(earlierOwnerHooks())
 {
 }
 
-EarlierOwners::Hooks RequestScheduler::earlierHooks()
+EarlierOwnerQueries::Hooks RequestScheduler::earlierOwnerHooks()
 {
     return {
-        .ask = m_hooks.askLedger,
-        .onMayRun = [this](const RequestPtr& request) { enterLedger(request); },
+        .sendQuery = m_hooks.sendLedgerQuery,
+        .onClearToRun = [this](const RequestPtr& request) { enterLedger(request); },
         .onRefused = [this](const RequestPtr& request, const RefusalVerdict& verdict) { refuse(request, verdict); },
-        .onAnswered = [this](const RequestPtr& request, const StoredAnswer& stored) { answerAgain(request, stored); },
+        .onAnswered = [this](const RequestPtr& request, const StoredAnswer& stored) { sendStoredAnswer(request, stored); },
     };
 }
 
@@ -101,17 +101,17 @@
     }
     m_requests[{ flow, head.request() }] = request;
     m_byWork[request->work] = request;
-    if (const auto verdict = judgeHead(*request))
+    if (const auto verdict = checkHead(*request))
         refuse(request, *verdict);
     else if (request->bodyLength == 0)
-        bodyComplete(request);
+        handleBodyComplete(request);
     else
-        hold(*request, request->bodyLength);
+        countHeldBytes(*request, request->bodyLength);
 }
 
 // Refuses a request that cannot succeed before its body is sent. A refusal after the upload would cost the end user the
 // whole transfer.
-std::optional<RefusalVerdict> RequestScheduler::judgeHead(const ActiveRequest& request) const
+std::optional<RefusalVerdict> RequestScheduler::checkHead(const ActiveRequest& request) const
 {
     if (m_refuseNew != RefusalReason::None)
         return RefusalVerdict { Ran::No, m_refuseNew, 0 };
@@ -139,10 +139,10 @@
     }
     request->body.append(reinterpret_cast<const char*>(chunk.bytes()->data()), size);
     if (request->body.size() == request->bodyLength)
-        bodyComplete(request);
+        handleBodyComplete(request);
 }
 
-void RequestScheduler::bodyComplete(const RequestPtr& request)
+void RequestScheduler::handleBodyComplete(const RequestPtr& request)
 {
     if (request->bodyLength > 0 && XXH3_64bits(request->body.data(), request->body.size()) != request->bodyHash) {
         refuse(request, { Ran::No, RefusalReason::BodyCorrupt, 0 });
@@ -166,7 +166,7 @@
     }
     if (verdict == BeginVerdict::AlreadyRan) {
         if (const auto stored = m_answers.find(request->key)) {
-            answerAgain(request, *stored);
+            sendStoredAnswer(request, *stored);
             return;
         }
     }
@@ -174,7 +174,7 @@
 }
 
 // The request ran in an earlier attempt whose flow went silent, so the caller gets the stored answer of that attempt.
-void RequestScheduler::answerAgain(const RequestPtr& request, const StoredAnswer& stored)
+void RequestScheduler::sendStoredAnswer(const RequestPtr& request, const StoredAnswer& stored)
 {
     m_metrics.ends.increment(RequestEnd::AnsweredFromLedger);
     answer(request, stored.status, stored.body);
@@ -234,7 +234,7 @@
     finishSlot(request, WorkOutcome::Succeeded);
     request->streamOpen = true;
     request->outbox.push_back(answerHeadMessage(request->request, head.status, true, {}));
-    pump(request);
+    flushOutbox(request);
 }
 
 void RequestScheduler::handleStreamChunk(const RequestPtr& request, std::string_view chunk)
@@ -243,7 +243,7 @@
         return;
     appendChunks(request->outbox, request->request, request->streamOffset, chunk);
     request->streamOffset += chunk.size();
-    pump(request);
+    flushOutbox(request);
     if (request->outbox.size() > maxStreamOutbox && request->call) {
         request->isPaused = true;
         request->call->pause();
@@ -253,9 +253,9 @@
 void RequestScheduler::handleDone(const RequestPtr& request, std::optional<HttpResponse> response, const HttpOutcome& outcome)
 {
     request->call = nullptr;
-    m_hooks.onContact(response || outcome.mayHaveReached);
+    m_hooks.onConnectAttempt(response || outcome.mayHaveReached);
     if (request->streamOpen && outcome.error == HttpError::ConnectionLost)
-        noteCutFeed();
+        handleLostFeed();
     if (response && isShed(*response)) {
         finishSlot(request, WorkOutcome::Shed);
         refuse(request, { Ran::No, RefusalReason::UpstreamShed, retryAfterOf(*response) });
@@ -269,7 +269,7 @@
         finishSlot(request, WorkOutcome::Succeeded);
         if (request->inLedger)
             m_answers.add(request->key, { response->status, response->body });
-        settle(request, LedgerState::Ran);
+        recordOutcome(request, LedgerState::Ran);
         m_metrics.ends.increment(RequestEnd::Answered);
         answer(request, response->status, response->body);
         return;
@@ -288,17 +288,17 @@
     m_metrics.ends.increment(RequestEnd::StreamEnded);
     request->stage = RequestStage::Answering;
     request->outbox.push_back(answerChunkMessage(request->request, request->streamOffset, {}));
-    pump(request);
+    flushOutbox(request);
 }
 
 // An upstream may restart between two probes while no request is in progress. Neither a failed request nor a refused
 // connection then shows the restart, only feeds that lose their connection, and when all end users reconnect the cold
 // upstream would get the load of a warm one. A restart breaks all feeds, so the upstream counts as cold only when no feed is
 // left open; a single broken feed must not reduce a warm upstream to one slot.
-void RequestScheduler::noteCutFeed()
+void RequestScheduler::handleLostFeed()
 {
-    const bool isAnyOpen = std::ranges::any_of(m_byWork, [](const auto& entry) { return entry.second->streamOpen && entry.second->call; });
-    if (isAnyOpen)
+    const bool isAnyFeedOpen = std::ranges::any_of(m_byWork, [](const auto& entry) { return entry.second->streamOpen && entry.second->call; });
+    if (isAnyFeedOpen)
         return;
     restartWarmUp();
     logEvent(Event::UpstreamCold, { { "limit", currentLimit(m_admission) }, { "outcome", nameOf(HttpError::ConnectionLost) } });
@@ -321,27 +321,27 @@
 void RequestScheduler::answer(const RequestPtr& request, int status, const std::string& body)
 {
     request->stage = RequestStage::Answering;
-    hold(*request, body.size());
+    countHeldBytes(*request, body.size());
     request->outbox.push_back(answerHeadMessage(request->request, status, false, body));
     appendChunks(request->outbox, request->request, 0, body);
-    pump(request);
+    flushOutbox(request);
 }
 
 void RequestScheduler::refuse(const RequestPtr& request, const RefusalVerdict& verdict)
 {
     m_metrics.refusals.increment(verdict.reason);
-    noteSaturation(verdict.reason);
+    logSaturation(verdict.reason);
     m_metrics.refusedRan.increment(verdict.ran);
     m_metrics.ends.increment(request->streamOpen ? RequestEnd::StreamEnded : RequestEnd::Refused);
-    settle(request, verdict.ran == Ran::No ? LedgerState::NotRun : LedgerState::Unknown);
+    recordOutcome(request, verdict.ran == Ran::No ? LedgerState::NotRun : LedgerState::Unknown);
     if (verdict.ran == Ran::Unknown && !request->idempotent)
         logEvent(Event::OutcomeUnknown, { { "key", request->key }, { "reason", nameOf(verdict.reason) } });
     request->stage = RequestStage::Answering;
     request->outbox.push_back(refusalMessage(request->request, verdict));
-    pump(request);
+    flushOutbox(request);
 }
 
-void RequestScheduler::noteSaturation(RefusalReason reason)
+void RequestScheduler::logSaturation(RefusalReason reason)
 {
     const bool isSaturated = reason == RefusalReason::QueueFull || reason == RefusalReason::ExpectedWaitTooLong;
     if (!isSaturated || !m_saturationLog.isDue(m_clock.now()))
@@ -349,7 +349,7 @@
     logEvent(Event::Saturated, { { "leftOut", m_saturationLog.takeLeftOut() }, { "reason", nameOf(reason) }, { "queued", queued(m_admission) }, { "limit", currentLimit(m_admission) } });
 }
 
-void RequestScheduler::settle(const RequestPtr& request, LedgerState outcome)
+void RequestScheduler::recordOutcome(const RequestPtr& request, LedgerState outcome)
 {
     if (!request->inLedger)
         return;
@@ -357,7 +357,7 @@
     settleWork(*m_ledger, m_options.ledger, request->key, outcome, m_clock.now());
 }
 
-void RequestScheduler::pump(const RequestPtr& request)
+void RequestScheduler::flushOutbox(const RequestPtr& request)
 {
     while (request->hasFlow && !request->outbox.empty()) {
         if (!m_hooks.send(request->flow, request->outbox.front()))
@@ -365,7 +365,7 @@
         request->outbox.pop_front();
     }
     if (request->stage == RequestStage::Answering) {
-        forget(request);
+        removeRequest(request);
     } else if (request->isPaused && request->call) {
         request->isPaused = false;
         request->call->resume();
@@ -378,11 +378,11 @@
     if (!request || request->stage == RequestStage::Answering)
         return;
     const bool mayHaveRun = request->stage == RequestStage::Running;
-    takeBack(request);
+    withdrawRequest(request);
     refuse(request, { mayHaveRun ? Ran::Unknown : Ran::No, RefusalReason::Cancelled, 0 });
 }
 
-void RequestScheduler::takeBack(const RequestPtr& request)
+void RequestScheduler::withdrawRequest(const RequestPtr& request)
 {
     if (request->stage == RequestStage::Queued)
         cancelQueued(m_admission, request->work);
@@ -394,7 +394,7 @@
     finishSlot(request, WorkOutcome::Cancelled);
 }
 
-void RequestScheduler::flowHasRoom(FlowId flow)
+void RequestScheduler::handleFlowWritable(FlowId flow)
 {
     std::vector<RequestPtr> waiting;
     for (auto item = m_requests.lower_bound({ flow, 0 }); item != m_requests.end() && item->first.first == flow; ++item) {
@@ -402,10 +402,10 @@
             waiting.push_back(item->second);
     }
     for (const RequestPtr& request : waiting)
-        pump(request);
+        flushOutbox(request);
 }
 
-void RequestScheduler::flowEnded(FlowId flow)
+void RequestScheduler::handleFlowEnded(FlowId flow)
 {
     std::vector<RequestPtr> ended;
     for (auto item = m_requests.lower_bound({ flow, 0 }); item != m_requests.end() && item->first.first == flow; ++item)
@@ -413,8 +413,8 @@
     for (const RequestPtr& request : ended) {
         request->hasFlow = false;
         m_requests.erase({ flow, request->request });
-        const bool isLeftToEnd = !request->idempotent && request->stage == RequestStage::Running;
-        if (isLeftToEnd)
+        const bool mayFinish = !request->idempotent && request->stage == RequestStage::Running;
+        if (mayFinish)
             continue;
         m_metrics.ends.increment(RequestEnd::Abandoned);
         cancelAbandoned(request);
@@ -423,9 +423,9 @@
 
 void RequestScheduler::cancelAbandoned(const RequestPtr& request)
 {
-    takeBack(request);
-    settle(request, LedgerState::NotRun);
-    forget(request);
+    withdrawRequest(request);
+    recordOutcome(request, LedgerState::NotRun);
+    removeRequest(request);
 }
 
 LedgerReply RequestScheduler::answerLedgerQuery(const std::string& key)
@@ -466,7 +466,7 @@
         refuse(request, { Ran::No, RefusalReason::DeadlinePassed, 0 });
 }
 
-void RequestScheduler::forget(const RequestPtr& request)
+void RequestScheduler::removeRequest(const RequestPtr& request)
 {
     m_heldBytes -= request->heldBytes;
     request->heldBytes = 0;
@@ -475,7 +475,7 @@
         m_requests.erase({ request->flow, request->request });
 }
 
-void RequestScheduler::hold(ActiveRequest& request, std::size_t bytes)
+void RequestScheduler::countHeldBytes(ActiveRequest& request, std::size_t bytes)
 {
     request.heldBytes += bytes;
     m_heldBytes += bytes;
--- a/src/kingcuptraild/agent/requestscheduler.h
+++ b/src/kingcuptraild/agent/requestscheduler.h
@@ -2,7 +2,7 @@
 
 #include "activerequest.h"
 #include "answerstore.h"
-#include "earlierowners.h"
+#include "earlierownerqueries.h"
 #include "libdecision/admission.h"
 #include "libdecision/ledger.h"
 #include "libhttp/httpclient.h"
@@ -36,12 +36,12 @@
 class RequestScheduler {
 public:
     struct Hooks {
-        /// Queues a message on a flow; false when the flow's send queue is full. flowHasRoom() then tries again.
+        /// Queues a message on a flow; false when the flow's send queue is full. handleFlowWritable() then tries again.
         std::function<bool(FlowId, Bytes)> send;
         /// Reports whether the upstream accepted the connection of a request.
-        std::function<void(bool isConnected)> onContact;
+        std::function<void(bool isConnected)> onConnectAttempt;
         /// Sends a query about a key to an earlier owner; the answer is passed to handleLedgerAnswer().
-        std::function<void(std::uint64_t query, const OwnerToken& holder, const std::string& key)> askLedger;
+        std::function<void(std::uint64_t query, const OwnerToken& holder, const std::string& key)> sendLedgerQuery;
     };
 
     RequestScheduler(asio::io_context& context, const Clock& clock, RequestSchedulerOptions options, Hooks hooks);
@@ -61,10 +61,10 @@
     /// Refuses all requests that wait for a slot, as not run.
     void refuseWaiting(RefusalReason reason);
     /// Resumes sending on a flow whose send queue has space again.
-    void flowHasRoom(FlowId flow);
+    void handleFlowWritable(FlowId flow);
     /// Cancels the requests of a flow that has ended. A non-idempotent request that is running is left to finish, so that
     /// its outcome is known to later queries.
-    void flowEnded(FlowId flow);
+    void handleFlowEnded(FlowId flow);
 
     LedgerReply answerLedgerQuery(const std::string& key);
     void handleLedgerAnswer(std::uint64_t query, const LedgerReply& reply) { m_earlierOwners.handleAnswer(query, reply); }
@@ -83,14 +83,14 @@
 private:
     using RequestPtr = std::shared_ptr<ActiveRequest>;
 
-    EarlierOwners::Hooks earlierHooks();
+    EarlierOwnerQueries::Hooks earlierOwnerHooks();
     void receiveHead(FlowId flow, const wire::RequestHead& head);
     void receiveChunk(FlowId flow, const wire::BodyChunk& chunk);
     void cancel(FlowId flow, std::uint64_t request);
-    std::optional<RefusalVerdict> judgeHead(const ActiveRequest& request) const;
-    void bodyComplete(const RequestPtr& request);
+    std::optional<RefusalVerdict> checkHead(const ActiveRequest& request) const;
+    void handleBodyComplete(const RequestPtr& request);
     void enterLedger(const RequestPtr& request);
-    void answerAgain(const RequestPtr& request, const StoredAnswer& stored);
+    void sendStoredAnswer(const RequestPtr& request, const StoredAnswer& stored);
     void submit(const RequestPtr& request);
     void startRunnable();
     void run(const RequestPtr& request);
@@ -98,18 +98,18 @@
     void handleStreamChunk(const RequestPtr& request, std::string_view chunk);
     void handleDone(const RequestPtr& request, std::optional<HttpResponse> response, const HttpOutcome& outcome);
     void endStream(const RequestPtr& request);
-    void noteCutFeed();
+    void handleLostFeed();
     void finishSlot(const RequestPtr& request, WorkOutcome outcome);
     void answer(const RequestPtr& request, int status, const std::string& body);
     void refuse(const RequestPtr& request, const RefusalVerdict& verdict);
-    void noteSaturation(RefusalReason reason);
-    void settle(const RequestPtr& request, LedgerState outcome);
-    void pump(const RequestPtr& request);
-    void takeBack(const RequestPtr& request);
+    void logSaturation(RefusalReason reason);
+    void recordOutcome(const RequestPtr& request, LedgerState outcome);
+    void flushOutbox(const RequestPtr& request);
+    void withdrawRequest(const RequestPtr& request);
     void cancelAbandoned(const RequestPtr& request);
-    void forget(const RequestPtr& request);
+    void removeRequest(const RequestPtr& request);
     void expireDeadlines(Millis now);
-    void hold(ActiveRequest& request, std::size_t bytes);
+    void countHeldBytes(ActiveRequest& request, std::size_t bytes);
     RequestPtr find(FlowId flow, std::uint64_t request) const;
 
     asio::io_context& m_context;
@@ -123,7 +123,7 @@
     AnswerStore m_answers;
     std::map<std::pair<FlowId, std::uint64_t>, RequestPtr> m_requests;
     std::unordered_map<std::uint64_t, RequestPtr> m_byWork;
-    EarlierOwners m_earlierOwners;
+    EarlierOwnerQueries m_earlierOwners;
     std::uint64_t m_lastWork = 0;
     std::size_t m_heldBytes = 0;
     LogInterval m_saturationLog { 10000 };
--- a/src/kingcuptraild/agent/upstreamprobe.cpp
+++ b/src/kingcuptraild/agent/upstreamprobe.cpp
@@ -16,7 +16,7 @@
     constexpr int statusOk = 200;
 
     /// The busy slots that the upstream reports as {"busy": N}; 0 when the answer cannot be parsed.
-    std::uint32_t busyOf(const std::optional<HttpResponse>& response)
+    std::uint32_t parseBusy(const std::optional<HttpResponse>& response)
     {
         if (!response)
             return 0;
@@ -33,7 +33,7 @@
     , m_handlers(std::move(handlers))
     , m_timer(role.context)
 {
-    askHealth();
+    requestHealth();
 }
 
 UpstreamProbe::~UpstreamProbe()
@@ -47,11 +47,11 @@
     m_timer.expires_after(std::chrono::milliseconds(pause));
     m_timer.async_wait([this](asio::error_code error) {
         if (!error)
-            askHealth();
+            requestHealth();
     });
 }
 
-void UpstreamProbe::askHealth()
+void UpstreamProbe::requestHealth()
 {
     const AgentSettings& agent = m_role.settings.agent;
     m_call = startHttpCall(m_role.context, agent.upstream, { .target = agent.healthPath }, { .timeout = probeTimeout },
@@ -63,18 +63,18 @@
 void UpstreamProbe::handleHealth(bool isHealthy, bool isConnected)
 {
     m_call = nullptr;
-    m_handlers.onContact(isConnected);
+    m_handlers.onConnectAttempt(isConnected);
     if (isConnected)
-        askLoad(isHealthy);
+        requestLoad(isHealthy);
     else
         schedule(probeIntervalUnreachable);
 }
 
-void UpstreamProbe::askLoad(bool isHealthy)
+void UpstreamProbe::requestLoad(bool isHealthy)
 {
     const AgentSettings& agent = m_role.settings.agent;
     m_call = startHttpCall(m_role.context, agent.upstream, { .target = agent.loadPath }, { .timeout = probeTimeout },
-        { .onDone = [this, isHealthy](const std::optional<HttpResponse>& response, const HttpOutcome&) { report(isHealthy, busyOf(response)); } });
+        { .onDone = [this, isHealthy](const std::optional<HttpResponse>& response, const HttpOutcome&) { report(isHealthy, parseBusy(response)); } });
 }
 
 void UpstreamProbe::report(bool isHealthy, std::uint32_t busy)
--- a/src/kingcuptraild/agent/upstreamprobe.h
+++ b/src/kingcuptraild/agent/upstreamprobe.h
@@ -16,7 +16,7 @@
     struct Handlers {
         std::function<void(const UpstreamHint&)> onHint;
         /// Reports whether the upstream accepted a connection. This is the only part of a probe that the agent observes itself.
-        std::function<void(bool isConnected)> onContact;
+        std::function<void(bool isConnected)> onConnectAttempt;
     };
 
     UpstreamProbe(const RoleContext& role, Handlers handlers);
@@ -24,9 +24,9 @@
 
 private:
     void schedule(Millis pause);
-    void askHealth();
+    void requestHealth();
     void handleHealth(bool isHealthy, bool isConnected);
-    void askLoad(bool isHealthy);
+    void requestLoad(bool isHealthy);
     void report(bool isHealthy, std::uint32_t busy);
 
     const RoleContext& m_role;
--- a/src/kingcuptraild/agent/upstreamwatch.cpp
+++ b/src/kingcuptraild/agent/upstreamrestartdetector.cpp
@@ -1,4 +1,4 @@
-#include "upstreamwatch.h"
+#include "upstreamrestartdetector.h"
 
 namespace kingcuptrail {
 
@@ -7,11 +7,11 @@
     /// Wait between attempts to connect while they fail, in milliseconds.
     constexpr Millis retryInterval = 200;
     /// Shortest time between two connections, in milliseconds. A server that closes them sooner does not keep idle ones.
-    constexpr Millis shortestIdle = 1000;
+    constexpr Millis minConnectInterval = 1000;
 
 }
 
-UpstreamWatch::UpstreamWatch(const RoleContext& role, Handlers handlers)
+UpstreamRestartDetector::UpstreamRestartDetector(const RoleContext& role, Handlers handlers)
     : m_role(role)
     , m_handlers(std::move(handlers))
     , m_socket(role.context)
@@ -20,7 +20,7 @@
     connect();
 }
 
-void UpstreamWatch::connect()
+void UpstreamRestartDetector::connect()
 {
     asio::error_code ignored;
     m_socket.close(ignored);
@@ -30,7 +30,7 @@
     });
 }
 
-void UpstreamWatch::connectAfter(Millis pause)
+void UpstreamRestartDetector::connectAfter(Millis pause)
 {
     m_timer.expires_after(std::chrono::milliseconds(pause));
     m_timer.async_wait([this, lifetime = std::weak_ptr(m_lifetime)](asio::error_code error) {
@@ -39,40 +39,40 @@
     });
 }
 
-void UpstreamWatch::handleConnect(asio::error_code error)
+void UpstreamRestartDetector::handleConnect(asio::error_code error)
 {
     if (error) {
         connectAfter(retryInterval);
     } else {
         m_connectedAt = m_role.clock.now();
-        m_wasToldWhy = false;
-        awaitEnd();
+        m_hasReceivedData = false;
+        awaitClose();
     }
-    m_handlers.onContact(!error);
+    m_handlers.onConnectAttempt(!error);
 }
 
 // No request was sent, so any data is what a server sends before it closes an idle connection.
-void UpstreamWatch::awaitEnd()
+void UpstreamRestartDetector::awaitClose()
 {
-    m_socket.async_read_some(asio::buffer(m_ignored), [this, lifetime = std::weak_ptr(m_lifetime)](asio::error_code error, std::size_t) {
+    m_socket.async_read_some(asio::buffer(m_readBuffer), [this, lifetime = std::weak_ptr(m_lifetime)](asio::error_code error, std::size_t) {
         if (lifetime.expired() || error == asio::error::operation_aborted)
             return;
         if (error) {
-            handleEnd();
+            handleClose();
             return;
         }
-        m_wasToldWhy = true;
-        awaitEnd();
+        m_hasReceivedData = true;
+        awaitClose();
     });
 }
 
-void UpstreamWatch::handleEnd()
+void UpstreamRestartDetector::handleClose()
 {
-    const Millis life = m_role.clock.now() - m_connectedAt;
-    if (indicatesRestart(m_closes, {}, life, m_wasToldWhy))
+    const Millis connectionAge = m_role.clock.now() - m_connectedAt;
+    if (indicatesRestart(m_idleCloses, {}, connectionAge, m_hasReceivedData))
         m_handlers.onRestart();
-    if (life < shortestIdle)
-        connectAfter(shortestIdle - life);
+    if (connectionAge < minConnectInterval)
+        connectAfter(minConnectInterval - connectionAge);
     else
         connect();
 }
--- a/src/kingcuptraild/balancer/agentconnection.cpp
+++ b/src/kingcuptraild/balancer/agentconnection.cpp
@@ -16,11 +16,11 @@
 
 }
 
-AgentConnection::AgentConnection(const RoleContext& role, Presence presence, PeerLink::Handlers handlers, OnGone onGone, FailureHandler onFailure)
+AgentConnection::AgentConnection(const RoleContext& role, Presence presence, PeerLink::Handlers handlers, OnProcessEnded onProcessEnded, FailureHandler onFailure)
     : m_role(role)
     , m_presence(std::move(presence))
     , m_handlers(std::move(handlers))
-    , m_onGone(std::move(onGone))
+    , m_onProcessEnded(std::move(onProcessEnded))
     , m_onFailure(std::move(onFailure))
     , m_dialer(role.context, linkOptions(role.settings))
 {
@@ -46,7 +46,7 @@
 {
     if (!link) {
         if (reason == LinkError::ConnectRefused)
-            m_onGone();
+            m_onProcessEnded();
         m_onFailure(reason == LinkError::None ? ChildFailure::Internal : ChildFailure::ConnectFailed);
         return;
     }
@@ -73,7 +73,7 @@
     }
     const bool isSuccessor = peer.token.upstream == m_presence.token.upstream && peer.token.incarnation > m_presence.token.incarnation;
     if (isSuccessor)
-        m_onGone();
+        m_onProcessEnded();
     logEvent(Event::LinkRefused, { { "peer", peer.name }, { "expected", m_presence.upstream } });
     return wire::GoodbyeReason::NotExpected;
 }
--- a/src/kingcuptraild/balancer/agentconnection.h
+++ b/src/kingcuptraild/balancer/agentconnection.h
@@ -10,10 +10,10 @@
 class AgentConnection : public Supervised {
 public:
     /// Called when the announced process is known to have ended.
-    using OnGone = std::function<void()>;
+    using OnProcessEnded = std::function<void()>;
 
     /// `handlers` get onUp and all later events; the hello is checked against the announcement here.
-    AgentConnection(const RoleContext& role, Presence presence, PeerLink::Handlers handlers, OnGone onGone, FailureHandler onFailure);
+    AgentConnection(const RoleContext& role, Presence presence, PeerLink::Handlers handlers, OnProcessEnded onProcessEnded, FailureHandler onFailure);
     ~AgentConnection() override;
 
 private:
@@ -23,7 +23,7 @@
     const RoleContext& m_role;
     Presence m_presence;
     PeerLink::Handlers m_handlers;
-    OnGone m_onGone;
+    OnProcessEnded m_onProcessEnded;
     FailureHandler m_onFailure;
     LinkDialer m_dialer;
     std::shared_ptr<PeerLink> m_link;
--- a/src/kingcuptraild/balancer/balancer.cpp
+++ b/src/kingcuptraild/balancer/balancer.cpp
@@ -17,7 +17,7 @@
 
     /// How long a balancer that shuts down still forwards packets that were already on their way to it, in milliseconds:
     /// several round trips across the fabric, and longer than one redial of the fabric.
-    constexpr Millis leaveGrace = 1000;
+    constexpr Millis shutdownGrace = 1000;
 
     /// Suggested retry delay when no upstream is available, in milliseconds: about the time in which a member re-establishes
     /// a lost link.
@@ -25,10 +25,10 @@
 
     /// Interval at which the balancer records that its process runs, in milliseconds; a fraction of the gap that counts as a
     /// pause.
-    constexpr Millis runningInterval = 200;
+    constexpr Millis periodicCheckInterval = 200;
 
     /// Number of balancers that push a change of configuration to one agent.
-    constexpr std::uint32_t newsCopies = 3;
+    constexpr std::uint32_t configPushCopies = 3;
 
     OwnerToken tokenOf(const wire::Packet& packet)
     {
@@ -50,30 +50,30 @@
 Balancer::Balancer(const RoleContext& role)
     : m_role(role)
     , m_id(upstreamIdOf(role.settings.name))
-    , m_leaveTimer(role.context)
-    , m_runningTimer(role.context)
+    , m_shutdownTimer(role.context)
+    , m_periodicTimer(role.context)
 {
     m_role.config.addListener([this](const Config& current, const Config& previous) { handleConfig(current, previous); });
     m_role.root.add({ .name = "links", .make = [this](const FailureHandler& onFailure) {
                          auto links = std::make_unique<Supervisor>(m_role.context, "links", onFailure);
-                         m_links = links.get();
+                         m_linkSupervisor = links.get();
                          return links;
                      } });
     m_role.root.add({ .name = "config", .make = [this](const FailureHandler&) {
-                         return std::make_unique<ConfigFollower>(m_role, ConfigFollower::Mode::Follow);
+                         return std::make_unique<SupervisedConfigWatcher>(m_role, SupervisedConfigWatcher::Mode::Follow);
                      } });
     m_role.root.add({ .name = "presence", .make = [this](const FailureHandler&) {
-                         auto follower = std::make_unique<PresenceFollower>(
-                             m_role, [this](const std::vector<Presence>& presences) { handlePresence(presences); }, [this](const Presence& presence) { return isInDoubt(presence); });
-                         m_presence = follower.get();
-                         return follower;
+                         auto watcher = std::make_unique<SupervisedPresenceWatcher>(
+                             m_role, [this](const std::vector<Presence>& presences) { handlePresence(presences); }, [this](const Presence& presence) { return needsLeaseCheck(presence); });
+                         m_presenceWatcher = watcher.get();
+                         return watcher;
                      } });
     m_role.root.add({ .name = "fabric", .make = [this](const FailureHandler& onFailure) {
                          return std::make_unique<Listener>(
                              m_role.context, m_role.settings.listen, LinkOptions { .silenceLimit = m_role.settings.linkSilence },
-                             [this](std::shared_ptr<Link> link) { acceptFabric(std::move(link)); }, onFailure);
+                             [this](std::shared_ptr<Link> link) { acceptFabricLink(std::move(link)); }, onFailure);
                      } });
-    noteRunningRegularly();
+    runPeriodicCheck();
 }
 
 void Balancer::handleConfig(const Config& current, const Config& previous)
@@ -84,39 +84,39 @@
     }
     m_members.setConfig(current);
     if (isOwnDataCentreOut())
-        leaveFabric(wire::GoodbyeReason::DataCentreOut);
-    pushNews();
+        sendFabricGoodbye(wire::GoodbyeReason::DataCentreOut);
+    pushConfigChange();
 }
 
 // Agents do not watch the platform for configuration. Without a push they would learn of a change with the next regular
 // heartbeat, too late for a data centre that was taken out. A push from every balancer to every agent, with 700 balancers
 // and 4,500 links each, would cost each balancer 4,500 heartbeats per change. Each agent therefore gets the push from about
 // three of its balancers, of which two may fail at that moment.
-void Balancer::pushNews()
+void Balancer::pushConfigChange()
 {
     for (const OwnerToken& token : m_members.tokens()) {
         const MemberTable::Entry* entry = m_members.find(token);
-        if (entry->link && isSelectedToPush(m_id, token.upstream, entry->report.links, newsCopies))
-            entry->link->heartbeatNow();
+        if (entry->link && isSelectedToPush(m_id, token.upstream, entry->report.links, configPushCopies))
+            entry->link->sendHeartbeat();
     }
 }
 
 void Balancer::handlePresence(const std::vector<Presence>& presences)
 {
-    m_hasHeardPresences = true;
-    logMembers(presences);
+    m_hasPresences = true;
+    logMemberChanges(presences);
     m_members.setPresences(presences);
     reconcileConnections();
 }
 
 // An agent with a live link is known to be alive, so its lease matters only while it has no link.
-bool Balancer::isInDoubt(const Presence& presence) const
+bool Balancer::needsLeaseCheck(const Presence& presence) const
 {
     const auto* entry = m_members.find(presence.token);
     return !entry || !entry->link;
 }
 
-void Balancer::logMembers(const std::vector<Presence>& presences) const
+void Balancer::logMemberChanges(const std::vector<Presence>& presences) const
 {
     std::unordered_set<OwnerToken> listed;
     for (const Presence& presence : presences) {
@@ -136,12 +136,12 @@
 
 void Balancer::reconcileConnections()
 {
-    if (!m_links)
+    if (!m_linkSupervisor)
         return;
     for (const OwnerToken& token : m_members.tokens()) {
         const MemberTable::Entry* entry = m_members.find(token);
-        if (entry->isAnnounced && !m_links->contains(childName(token)))
-            m_links->add(connectionSpec(entry->presence));
+        if (entry->isAnnounced && !m_linkSupervisor->contains(childName(token)))
+            m_linkSupervisor->add(connectionSpec(entry->presence));
     }
 }
 
@@ -151,7 +151,7 @@
         .name = childName(presence.token),
         .make = [this, presence](FailureHandler onFailure) {
             return std::make_unique<AgentConnection>(
-                m_role, presence, agentHandlers(presence.token), [this, presence] { m_members.setGone(presence.token); }, std::move(onFailure));
+                m_role, presence, agentHandlers(presence.token), [this, presence] { m_members.setProcessEnded(presence.token); }, std::move(onFailure));
         },
     };
 }
@@ -159,43 +159,43 @@
 PeerLink::Handlers Balancer::agentHandlers(const OwnerToken& token)
 {
     return {
-        .onUp = [this, token](PeerLink& link) { m_members.linkUp(token, link.shared_from_this()); },
+        .onUp = [this, token](PeerLink& link) { m_members.addLink(token, link.shared_from_this()); },
         .onPacket = [this](PeerLink&, const wire::Packet& packet, std::span<const std::uint8_t> raw) { handleAgentPacket(packet, raw); },
-        .onLoad = [this, token](PeerLink&, const LoadReport& report) { m_members.setReport(token, report); },
-        .onLeaving = [this, token](PeerLink&, wire::GoodbyeReason) { m_members.linkLeaving(token); },
-        .onOther = [this](PeerLink&, const wire::Frame& frame, std::span<const std::uint8_t> raw) { handleAgentFrame(frame, raw); },
+        .onLoadReport = [this, token](PeerLink&, const LoadReport& report) { m_members.setReport(token, report); },
+        .onGoodbye = [this, token](PeerLink&, wire::GoodbyeReason) { m_members.handleLinkGoodbye(token); },
+        .onOtherFrame = [this](PeerLink&, const wire::Frame& frame, std::span<const std::uint8_t> raw) { handleAgentFrame(frame, raw); },
         .onClosed = [this, token](PeerLink&, LinkError reason) {
             m_closedLinks.increment(reason);
-            m_members.linkDown(token);
-            if (!m_members.find(token) && m_links)
-                m_links->remove(childName(token)); },
-        .heartbeatInterval = [this] { return heartbeatPause(); },
+            m_members.removeLink(token);
+            if (!m_members.find(token) && m_linkSupervisor)
+                m_linkSupervisor->remove(childName(token)); },
+        .heartbeatInterval = [this] { return currentHeartbeatInterval(); },
     };
 }
 
-void Balancer::acceptFabric(std::shared_ptr<Link> link)
+void Balancer::acceptFabricLink(std::shared_ptr<Link> link)
 {
     PeerLink::Handlers handlers {
         .onHello = [this](const PeerIdentity& peer) -> std::optional<wire::GoodbyeReason> {
             if (peer.role != wire::Role::Fabric)
                 return wire::GoodbyeReason::NotExpected;
-            if (m_isLeaving)
+            if (m_isShuttingDown)
                 return wire::GoodbyeReason::ShuttingDown;
             if (isOwnDataCentreOut())
                 return wire::GoodbyeReason::DataCentreOut;
-            if (!knowsTheWay())
+            if (!canRoute())
                 return wire::GoodbyeReason::NotExpected;
             return std::nullopt;
         },
         .onUp = [this](PeerLink& peer) {
             logEvent(Event::LinkUp, { { "peer", peer.peer().name }, { "role", "fabric" } });
-            m_fabrics.push_back(peer.shared_from_this()); },
+            m_fabricLinks.push_back(peer.shared_from_this()); },
         .onPacket = [this](PeerLink&, const wire::Packet& packet, std::span<const std::uint8_t> raw) { handleFabricPacket(packet, raw); },
         .onClosed = [this](PeerLink& peer, LinkError reason) {
             m_closedLinks.increment(reason);
             logEvent(Event::LinkLost, { { "peer", peer.peer().name }, { "reason", nameOf(reason) } });
-            std::erase_if(m_fabrics, [&](const auto& fabric) { return fabric.get() == &peer; }); },
-        .heartbeatInterval = [this] { return heartbeatPause(); },
+            std::erase_if(m_fabricLinks, [&](const auto& fabric) { return fabric.get() == &peer; }); },
+        .heartbeatInterval = [this] { return currentHeartbeatInterval(); },
     };
     auto peer = std::make_shared<PeerLink>(m_role.context, std::move(link), makeHello(m_role.settings, wire::Role::Balancer), m_role.config, std::move(handlers));
     peer->start();
@@ -203,7 +203,7 @@
 
 void Balancer::handleFabricPacket(const wire::Packet& packet, std::span<const std::uint8_t> raw)
 {
-    if (isHeld()) {
+    if (mustDropPackets()) {
         m_routes.increment(PacketRoute::Dropped);
         return;
     }
@@ -211,9 +211,9 @@
     if (token.isSet())
         routeOwned(packet, raw, token);
     else if (packet.kind() == wire::PacketKind::Open && packet.hops() == 0)
-        place(packet, raw);
+        placeNewFlow(packet, raw);
     else
-        walk(packet, raw);
+        routeByRanking(packet, raw);
 }
 
 void Balancer::routeOwned(const wire::Packet& packet, std::span<const std::uint8_t> raw, const OwnerToken& token)
@@ -222,15 +222,15 @@
     if (result.action == RouteAction::ToMember)
         sendToMember(m_members.allMembers()[result.member].token, copyOf(raw), PacketRoute::ByToken);
     else if (result.action == RouteAction::AnyAgent)
-        relay(packet);
+        relayToAnyAgent(packet);
     else
         refusePacket(packet, result);
 }
 
-void Balancer::place(const wire::Packet& packet, std::span<const std::uint8_t> raw)
+void Balancer::placeNewFlow(const wire::Packet& packet, std::span<const std::uint8_t> raw)
 {
     const auto members = m_members.members(packet.service());
-    m_placeOptions.loadReportInterval = heartbeatPause();
+    m_placeOptions.loadReportInterval = currentHeartbeatInterval();
     const auto placement = placeFlow(packet.flow(), members, m_placeOptions);
     if (!placement) {
         const bool isKnown = m_role.config.current().findAddress(packet.service());
@@ -239,10 +239,10 @@
     }
     const OwnerToken chosen = members[placement->member].token;
     sendToMember(chosen, copyOf(raw), placement->passedOver ? PacketRoute::PlacedSecondChoice : PacketRoute::Placed);
-    m_members.notePlaced(chosen);
+    m_members.countPlacedFlow(chosen);
 }
 
-void Balancer::walk(const wire::Packet& packet, std::span<const std::uint8_t> raw)
+void Balancer::routeByRanking(const wire::Packet& packet, std::span<const std::uint8_t> raw)
 {
     const auto members = m_members.members(packet.service());
     std::vector<UpstreamId> visited;
@@ -271,7 +271,7 @@
 
 // An owner that this balancer does not know yet may have links to other balancers. Any agent can pass the packet on to one
 // of them; dropping it here would break the flow until this balancer's member list is up to date.
-void Balancer::relay(const wire::Packet& packet)
+void Balancer::relayToAnyAgent(const wire::Packet& packet)
 {
     const auto link = m_members.anyLink(packet.flow() + packet.hops());
     if (!link) {
@@ -317,8 +317,8 @@
 
 void Balancer::sendToCaller(Bytes frame, PacketRoute route)
 {
-    const auto fabric = std::find_if(m_fabrics.begin(), m_fabrics.end(), [](const auto& link) { return link->isUsable(); });
-    const bool isSent = fabric != m_fabrics.end() && (*fabric)->sendPacket(std::move(frame));
+    const auto fabric = std::find_if(m_fabricLinks.begin(), m_fabricLinks.end(), [](const auto& link) { return link->isUsable(); });
+    const bool isSent = fabric != m_fabricLinks.end() && (*fabric)->sendPacket(std::move(frame));
     m_routes.increment(isSent ? route : PacketRoute::Dropped);
 }
 
@@ -332,23 +332,23 @@
 
 // If only packets were recorded as a sign that the process runs, the first packet after an idle second would look like the
 // end of a pause.
-void Balancer::noteRunningRegularly()
+void Balancer::runPeriodicCheck()
 {
-    recordRun(m_pause, {}, m_role.clock.now());
-    if (m_presence)
-        m_trouble.note(m_presence->lastReason());
-    m_runningTimer.expires_after(std::chrono::milliseconds(runningInterval));
-    m_runningTimer.async_wait([this](asio::error_code error) {
+    recordRun(m_pauseDetector, {}, m_role.clock.now());
+    if (m_presenceWatcher)
+        m_outageLog.update(m_presenceWatcher->lastReason());
+    m_periodicTimer.expires_after(std::chrono::milliseconds(periodicCheckInterval));
+    m_periodicTimer.async_wait([this](asio::error_code error) {
         if (!error)
-            noteRunningRegularly();
+            runPeriodicCheck();
     });
 }
 
-bool Balancer::isHeld()
+bool Balancer::mustDropPackets()
 {
     const Millis now = m_role.clock.now();
-    recordRun(m_pause, {}, now);
-    return isDroppingPackets(m_pause, now);
+    recordRun(m_pauseDetector, {}, now);
+    return isDroppingPackets(m_pauseDetector, now);
 }
 
 bool Balancer::isOwnDataCentreOut() const
@@ -356,31 +356,31 @@
     return m_role.config.current().isOut(m_role.settings.dataCentre);
 }
 
-void Balancer::leaveFabric(wire::GoodbyeReason reason)
+void Balancer::sendFabricGoodbye(wire::GoodbyeReason reason)
 {
-    for (const auto& fabric : m_fabrics)
+    for (const auto& fabric : m_fabricLinks)
         fabric->goodbye(reason, false);
 }
 
 void Balancer::shutDown(std::function<void()> done)
 {
-    m_isLeaving = true;
-    leaveFabric(wire::GoodbyeReason::ShuttingDown);
-    m_leaveTimer.expires_after(std::chrono::milliseconds(leaveGrace));
-    m_leaveTimer.async_wait([this, done = std::move(done)](asio::error_code error) {
+    m_isShuttingDown = true;
+    sendFabricGoodbye(wire::GoodbyeReason::ShuttingDown);
+    m_shutdownTimer.expires_after(std::chrono::milliseconds(shutdownGrace));
+    m_shutdownTimer.async_wait([this, done = std::move(done)](asio::error_code error) {
         if (!error)
-            finishLeaving(done);
+            finishShutdown(done);
     });
 }
 
-void Balancer::finishLeaving(std::function<void()> done)
+void Balancer::finishShutdown(std::function<void()> done)
 {
     for (const OwnerToken& token : m_members.tokens()) {
         if (const auto link = m_members.find(token)->link)
             link->goodbye(wire::GoodbyeReason::ShuttingDown, false);
     }
-    m_leaveTimer.expires_after(std::chrono::milliseconds(leaveGrace / 2));
-    m_leaveTimer.async_wait([done = std::move(done)](asio::error_code error) {
+    m_shutdownTimer.expires_after(std::chrono::milliseconds(shutdownGrace / 2));
+    m_shutdownTimer.async_wait([done = std::move(done)](asio::error_code error) {
         if (!error)
             done();
     });
@@ -389,17 +389,17 @@
 // A balancer that starts while the platform is down knows no service and no agent. If it joined, the fabric would send it a
 // share of all packets, which would be lost, and flows would be reset for an unknown service. The fabric retries soon, and
 // the other balancers handle all packets until then.
-bool Balancer::knowsTheWay() const
+bool Balancer::canRoute() const
 {
-    return m_role.config.version() != 0 && m_hasHeardPresences;
+    return m_role.config.version() != 0 && m_hasPresences;
 }
 
-Millis Balancer::heartbeatPause() const
+Millis Balancer::currentHeartbeatInterval() const
 {
-    return heartbeatInterval(m_members.linkedCount() + m_fabrics.size(), { .baseInterval = m_role.settings.heartbeat });
+    return heartbeatInterval(m_members.linkedCount() + m_fabricLinks.size(), { .baseInterval = m_role.settings.heartbeat });
 }
 
-std::string Balancer::statusMembers() const
+std::string Balancer::statusFields() const
 {
     nlohmann::json members = nlohmann::json::array();
     for (const OwnerToken& token : m_members.tokens()) {
@@ -419,9 +419,9 @@
     }
     nlohmann::json status {
         { "members", members },
-        { "fabrics", m_fabrics.size() },
-        { "leaving", m_isLeaving },
-        { "platformTrouble", nameOf(m_trouble.current()) },
+        { "fabrics", m_fabricLinks.size() },
+        { "leaving", m_isShuttingDown },
+        { "platformTrouble", nameOf(m_outageLog.current()) },
         { "dataCentreOut", isOwnDataCentreOut() },
     };
     const std::string text = status.dump();
--- a/src/kingcuptraild/balancer/balancer.h
+++ b/src/kingcuptraild/balancer/balancer.h
@@ -1,8 +1,8 @@
 #pragma once
 
+#include "kingcuptraild/platformoutagelog.h"
 #include "kingcuptraild/role.h"
 #include "kingcuptraild/rolecontext.h"
-#include "kingcuptraild/troublelog.h"
 #include "kingcuptraild/watchers.h"
 #include "libdecision/pausedetector.h"
 #include "libdecision/placing.h"
@@ -48,57 +48,57 @@
 public:
     explicit Balancer(const RoleContext& role);
 
-    std::string statusMembers() const override;
+    std::string statusFields() const override;
     void exposeMetrics(std::string& out) const override;
     void shutDown(std::function<void()> done) override;
 
 private:
     void handleConfig(const Config& current, const Config& previous);
-    void pushNews();
+    void pushConfigChange();
     void handlePresence(const std::vector<Presence>& presences);
-    bool isInDoubt(const Presence& presence) const;
-    void logMembers(const std::vector<Presence>& presences) const;
+    bool needsLeaseCheck(const Presence& presence) const;
+    void logMemberChanges(const std::vector<Presence>& presences) const;
     void reconcileConnections();
     ChildSpec connectionSpec(const Presence& presence);
     PeerLink::Handlers agentHandlers(const OwnerToken& token);
 
-    void acceptFabric(std::shared_ptr<Link> link);
+    void acceptFabricLink(std::shared_ptr<Link> link);
     void handleFabricPacket(const wire::Packet& packet, std::span<const std::uint8_t> raw);
     void handleAgentPacket(const wire::Packet& packet, std::span<const std::uint8_t> raw);
     void handleAgentFrame(const wire::Frame& frame, std::span<const std::uint8_t> raw);
     void routeOwned(const wire::Packet& packet, std::span<const std::uint8_t> raw, const OwnerToken& token);
-    void place(const wire::Packet& packet, std::span<const std::uint8_t> raw);
-    void walk(const wire::Packet& packet, std::span<const std::uint8_t> raw);
-    void relay(const wire::Packet& packet);
+    void placeNewFlow(const wire::Packet& packet, std::span<const std::uint8_t> raw);
+    void routeByRanking(const wire::Packet& packet, std::span<const std::uint8_t> raw);
+    void relayToAnyAgent(const wire::Packet& packet);
     void sendToMember(const OwnerToken& token, Bytes frame, PacketRoute route);
     void sendToCaller(Bytes frame, PacketRoute route);
     void refusePacket(const wire::Packet& packet, const RouteResult& result);
     void sendReset(const wire::Packet& packet, RefusalReason reason);
 
-    void noteRunningRegularly();
-    bool isHeld();
+    void runPeriodicCheck();
+    bool mustDropPackets();
     bool isOwnDataCentreOut() const;
-    bool knowsTheWay() const;
-    void leaveFabric(wire::GoodbyeReason reason);
-    void finishLeaving(std::function<void()> done);
-    Millis heartbeatPause() const;
+    bool canRoute() const;
+    void sendFabricGoodbye(wire::GoodbyeReason reason);
+    void finishShutdown(std::function<void()> done);
+    Millis currentHeartbeatInterval() const;
 
     const RoleContext m_role;
     std::uint64_t m_id;
     MemberTable m_members;
-    std::vector<std::shared_ptr<PeerLink>> m_fabrics;
-    Supervisor* m_links = nullptr;
-    PresenceFollower* m_presence = nullptr;
-    TroubleLog m_trouble;
-    asio::steady_timer m_leaveTimer;
-    asio::steady_timer m_runningTimer;
-    PauseDetector m_pause;
+    std::vector<std::shared_ptr<PeerLink>> m_fabricLinks;
+    Supervisor* m_linkSupervisor = nullptr;
+    SupervisedPresenceWatcher* m_presenceWatcher = nullptr;
+    PlatformOutageLog m_outageLog;
+    asio::steady_timer m_shutdownTimer;
+    asio::steady_timer m_periodicTimer;
+    PauseDetector m_pauseDetector;
     PlaceOptions m_placeOptions;
     EnumCounters<PacketRoute> m_routes;
     EnumCounters<RefusalReason> m_resets;
     EnumCounters<LinkError> m_closedLinks;
-    bool m_hasHeardPresences = false;
-    bool m_isLeaving = false;
+    bool m_hasPresences = false;
+    bool m_isShuttingDown = false;
 };
 
 }
--- a/src/kingcuptraild/balancer/membertable.cpp
+++ b/src/kingcuptraild/balancer/membertable.cpp
@@ -23,17 +23,17 @@
     rebuild();
 }
 
-void MemberTable::linkUp(const OwnerToken& token, std::shared_ptr<PeerLink> link)
+void MemberTable::addLink(const OwnerToken& token, std::shared_ptr<PeerLink> link)
 {
     const auto found = m_entries.find(token);
     if (found == m_entries.end())
         return;
     found->second.link = std::move(link);
-    found->second.isGone = false;
+    found->second.hasEnded = false;
     rebuild();
 }
 
-void MemberTable::linkDown(const OwnerToken& token)
+void MemberTable::removeLink(const OwnerToken& token)
 {
     const auto found = m_entries.find(token);
     if (found == m_entries.end())
@@ -44,13 +44,13 @@
     rebuild();
 }
 
-void MemberTable::setGone(const OwnerToken& token)
+void MemberTable::setProcessEnded(const OwnerToken& token)
 {
     const auto found = m_entries.find(token);
     if (found == m_entries.end())
         return;
-    found->second.isGone = true;
-    refresh(found->second);
+    found->second.hasEnded = true;
+    updateMember(found->second);
 }
 
 void MemberTable::setReport(const OwnerToken& token, const LoadReport& report)
@@ -59,24 +59,24 @@
     if (found == m_entries.end())
         return;
     found->second.report = report;
-    found->second.placedSince = 0;
-    refresh(found->second);
+    found->second.placedSinceReport = 0;
+    updateMember(found->second);
 }
 
-void MemberTable::notePlaced(const OwnerToken& token)
+void MemberTable::countPlacedFlow(const OwnerToken& token)
 {
     const auto found = m_entries.find(token);
     if (found == m_entries.end())
         return;
-    ++found->second.placedSince;
-    refresh(found->second);
+    ++found->second.placedSinceReport;
+    updateMember(found->second);
 }
 
-void MemberTable::linkLeaving(const OwnerToken& token)
+void MemberTable::handleLinkGoodbye(const OwnerToken& token)
 {
     const auto found = m_entries.find(token);
     if (found != m_entries.end())
-        refresh(found->second);
+        updateMember(found->second);
 }
 
 const MemberTable::Entry* MemberTable::find(const OwnerToken& token) const
@@ -134,8 +134,8 @@
         .token = entry.presence.token,
         .state = stateOf(entry),
         .linked = entry.link && entry.link->isUsable(),
-        .gone = entry.isGone,
-        .load = static_cast<double>(entry.report.openFlows) + entry.placedSince,
+        .gone = entry.hasEnded,
+        .load = static_cast<double>(entry.report.openFlows) + entry.placedSinceReport,
     };
 }
 
@@ -154,7 +154,7 @@
 
 // Every heartbeat and every placed flow changes the load of one member. A rebuild for each of thousands of heartbeats would
 // copy thousands of members, so only the entries of this member are updated.
-void MemberTable::refresh(const Entry& entry)
+void MemberTable::updateMember(const Entry& entry)
 {
     const Member member = memberOf(entry);
     if (const auto position = findMember(m_index, member.token).exact)
--- a/src/kingcuptraild/balancer/membertable.h
+++ b/src/kingcuptraild/balancer/membertable.h
@@ -25,25 +25,25 @@
         std::shared_ptr<PeerLink> link;
         LoadReport report;
         /// Flows that this balancer placed on the member since the member's last report.
-        std::uint32_t placedSince = 0;
+        std::uint32_t placedSinceReport = 0;
         /// Whether the platform's last list contains the member.
         bool isAnnounced = false;
         /// Whether the member's process is known to have ended.
-        bool isGone = false;
+        bool hasEnded = false;
     };
 
     /// Applies the platform's list. Entries that are no longer announced stay while their link is up.
     void setPresences(const std::vector<Presence>& presences);
     void setConfig(const Config& config);
 
-    void linkUp(const OwnerToken& token, std::shared_ptr<PeerLink> link);
-    void linkDown(const OwnerToken& token);
+    void addLink(const OwnerToken& token, std::shared_ptr<PeerLink> link);
+    void removeLink(const OwnerToken& token);
     /// Updates a member whose agent sent a goodbye: its link must not be used for new packets.
-    void linkLeaving(const OwnerToken& token);
+    void handleLinkGoodbye(const OwnerToken& token);
     /// Records that the process with this token has ended.
-    void setGone(const OwnerToken& token);
+    void setProcessEnded(const OwnerToken& token);
     void setReport(const OwnerToken& token, const LoadReport& report);
-    void notePlaced(const OwnerToken& token);
+    void countPlacedFlow(const OwnerToken& token);
 
     const Entry* find(const OwnerToken& token) const;
     std::vector<OwnerToken> tokens() const;
@@ -63,7 +63,7 @@
     MemberState stateOf(const Entry& entry) const;
     Member memberOf(const Entry& entry) const;
     void rebuild();
-    void refresh(const Entry& entry);
+    void updateMember(const Entry& entry);
 
     Config m_config;
     std::map<OwnerToken, Entry> m_entries;
--- a/src/kingcuptraild/configdelta.cpp
+++ b/src/kingcuptraild/configdelta.cpp
@@ -4,39 +4,39 @@
 
 namespace kingcuptrail {
 
-void ConfigHistory::note(const Config& current, const Config& previous)
+void ConfigHistory::record(const Config& current, const Config& previous)
 {
     if (previous.version == 0)
-        m_knownSince = current.version;
+        m_historyStart = current.version;
     for (const ServiceConfig& service : current.services) {
         const ServiceConfig* before = previous.findService(service.name);
         if (!before || *before != service)
-            m_changedIn[service.name] = current.version;
-        m_removedIn.erase(service.name);
+            m_changeVersions[service.name] = current.version;
+        m_removalVersions.erase(service.name);
     }
     for (const ServiceConfig& service : previous.services) {
         if (current.findService(service.name))
             continue;
-        m_changedIn.erase(service.name);
-        m_removedIn[service.name] = current.version;
+        m_changeVersions.erase(service.name);
+        m_removalVersions[service.name] = current.version;
     }
-    if (m_removedIn.size() > maxRemoved) {
-        m_removedIn.clear();
-        m_knownSince = current.version;
+    if (m_removalVersions.size() > maxRemovedNames) {
+        m_removalVersions.clear();
+        m_historyStart = current.version;
     }
 }
 
 ConfigDelta ConfigHistory::since(ConfigVersion have, const Config& current) const
 {
-    if (have < m_knownSince)
+    if (have < m_historyStart)
         return { .base = 0, .changed = current, .removed = {} };
     ConfigDelta delta { .base = have, .changed = { .version = current.version, .services = {}, .dataCentres = current.dataCentres }, .removed = {} };
     for (const ServiceConfig& service : current.services) {
-        const auto changed = m_changedIn.find(service.name);
-        if (changed != m_changedIn.end() && changed->second > have)
+        const auto changed = m_changeVersions.find(service.name);
+        if (changed != m_changeVersions.end() && changed->second > have)
             delta.changed.services.push_back(service);
     }
-    for (const auto& [name, version] : m_removedIn) {
+    for (const auto& [name, version] : m_removalVersions) {
         if (version > have)
             delta.removed.push_back(name);
     }
--- a/src/kingcuptraild/configdelta.h
+++ b/src/kingcuptraild/configdelta.h
@@ -21,7 +21,7 @@
 class ConfigHistory {
 public:
     /// Records the differences between `previous` and `current`.
-    void note(const Config& current, const Config& previous);
+    void record(const Config& current, const Config& previous);
 
     /// The delta from version `have` to `current`; a full configuration when `have` is older than the history.
     ConfigDelta since(ConfigVersion have, const Config& current) const;
@@ -29,11 +29,11 @@
 private:
     /// Limit for the remembered names of removed services. Beyond it the history is cleared, and a peer with an older
     /// version gets a full configuration.
-    static constexpr std::size_t maxRemoved = 4096;
+    static constexpr std::size_t maxRemovedNames = 4096;
 
-    ConfigVersion m_knownSince = 0;
-    std::map<std::string, ConfigVersion, std::less<>> m_changedIn;
-    std::map<std::string, ConfigVersion, std::less<>> m_removedIn;
+    ConfigVersion m_historyStart = 0;
+    std::map<std::string, ConfigVersion, std::less<>> m_changeVersions;
+    std::map<std::string, ConfigVersion, std::less<>> m_removalVersions;
 };
 
 /// Applies a delta to the held configuration; nothing when the held one is older than the base of the delta.
--- a/src/kingcuptraild/daemon.cpp
+++ b/src/kingcuptraild/daemon.cpp
@@ -43,7 +43,7 @@
 
     /// How long the store's host may stay silent during a call before the call fails, in milliseconds: shorter than the time
     /// within which a change must be known everywhere, and long enough for several keep-alive probes.
-    constexpr Millis storePathSilence = 2000;
+    constexpr Millis storeSilenceLimit = 2000;
     /// Duration of a long poll for changes in the store of a packet deployment, in milliseconds. Long, since each call is
     /// billed.
     constexpr Millis packetWatchWait = 30000;
@@ -71,12 +71,12 @@
         options.dialect = trustAdapter().store;
         options.callTimeout = packetCallTimeout;
         options.watchWait = packetWatchWait;
-        options.pathSilenceLimit = storePathSilence;
+        options.pathSilenceLimit = storeSilenceLimit;
         options.retryMax = 1000;
         return options;
     }
 
-    nlohmann::json childrenOf(const Supervisor& supervisor)
+    nlohmann::json childrenStatus(const Supervisor& supervisor)
     {
         nlohmann::json children = nlohmann::json::array();
         for (const ChildStatus& child : supervisor.status()) {
@@ -124,7 +124,7 @@
     if (!isPacketRole(m_settings.role))
         m_root.add({ .name = "registration", .make = [this](const FailureHandler&) { return std::make_unique<Registration>(m_roleContext); } });
     waitForSignal();
-    watchSettings();
+    scheduleSettingsCheck();
     m_context.run();
     logEvent(Event::DaemonStopped, { { "exitCode", static_cast<std::uint64_t>(m_exitCode) } });
     return m_exitCode;
@@ -164,11 +164,11 @@
 }
 
 // Polls the settings file, since it may change without a SIGHUP.
-void Daemon::watchSettings()
+void Daemon::scheduleSettingsCheck()
 {
     m_settingsTimer.start(settingsInterval, [this] {
         reloadSettings();
-        watchSettings();
+        scheduleSettingsCheck();
     });
 }
 
@@ -209,11 +209,11 @@
         { "dataCentre", m_settings.dataCentre },
         { "configVersion", m_config.version() },
         { "stopping", m_isStopping },
-        { "children", childrenOf(m_root) },
+        { "children", childrenStatus(m_root) },
     };
     std::string text = common.dump();
     text.pop_back();
-    return text + "," + m_role->statusMembers() + "}";
+    return text + "," + m_role->statusFields() + "}";
 }
 
 std::string Daemon::metrics() const
--- a/src/kingcuptraild/daemon.h
+++ b/src/kingcuptraild/daemon.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "configkeeper.h"
+#include "activeconfig.h"
 #include "libplatform/delay.h"
 #include "role.h"
 #include "rolecontext.h"
@@ -30,7 +30,7 @@
     std::unique_ptr<AdminEndpoint> makeAdminEndpoint(const FailureHandler& onFailure);
     void waitForSignal();
     void handleStopSignal();
-    void watchSettings();
+    void scheduleSettingsCheck();
     void reloadSettings();
     void stop(int exitCode);
     std::string status() const;
@@ -44,7 +44,7 @@
     asio::signal_set m_signals;
     Clock m_clock;
     PlatformOptions m_platform;
-    ConfigKeeper m_config;
+    ActiveConfig m_config;
     /// Outlives the supervisor tree, since links call the role back when they are destroyed with the tree.
     std::unique_ptr<Role> m_role;
     Supervisor m_root;
--- a/src/kingcuptraild/packets/packetagent.cpp
+++ b/src/kingcuptraild/packets/packetagent.cpp
@@ -449,7 +449,7 @@
     return known != entries.end() ? known->second : PeerEntry {};
 }
 
-std::string PacketAgent::statusMembers() const
+std::string PacketAgent::statusFields() const
 {
     const nlohmann::json status {
         { "upstream", m_state.flowAdmission.upstream ? m_state.flowAdmission.upstream->id : "" },
--- a/src/kingcuptraild/packets/packetagent.h
+++ b/src/kingcuptraild/packets/packetagent.h
@@ -17,7 +17,7 @@
     PacketAgent(const RoleContext& role, const DeploymentAdapter& adapter);
 
     bool isStarted() const override { return m_isStarted; }
-    std::string statusMembers() const override;
+    std::string statusFields() const override;
     void exposeMetrics(std::string& out) const override;
     void shutDown(std::function<void()> done) override;
 
--- a/src/kingcuptraild/packets/packetbalancer.cpp
+++ b/src/kingcuptraild/packets/packetbalancer.cpp
@@ -242,7 +242,7 @@
     m_shutdownTimer.start(tickInterval, [this, done = std::move(done)] { shutDown(done); });
 }
 
-std::string PacketBalancer::statusMembers() const
+std::string PacketBalancer::statusFields() const
 {
     nlohmann::json agents = nlohmann::json::array();
     for (const auto& [name, entry] : m_state.network.directory().entries) {
--- a/src/kingcuptraild/peerlink.cpp
+++ b/src/kingcuptraild/peerlink.cpp
@@ -1,6 +1,6 @@
 #include "peerlink.h"
 
-#include "configkeeper.h"
+#include "activeconfig.h"
 #include "libdecision/configorder.h"
 
 #include <algorithm>
@@ -10,16 +10,16 @@
 namespace {
 
     /// Heartbeats that a peer with a long interval may miss before its link counts as silent.
-    constexpr Millis missedHeartbeats = 5;
+    constexpr Millis maxMissedHeartbeats = 5;
 
-    std::string text(const flatbuffers::String* string)
+    std::string toStdString(const flatbuffers::String* string)
     {
         return string ? string->str() : std::string();
     }
 
 }
 
-PeerLink::PeerLink(asio::io_context& context, std::shared_ptr<Link> link, wire::HelloT hello, ConfigKeeper& config, Handlers handlers)
+PeerLink::PeerLink(asio::io_context& context, std::shared_ptr<Link> link, wire::HelloT hello, ActiveConfig& config, Handlers handlers)
     : m_link(std::move(link))
     , m_timer(context)
     , m_hello(std::move(hello))
@@ -44,7 +44,7 @@
     m_link->send(encodeFrameOf(m_hello));
 }
 
-void PeerLink::heartbeatNow()
+void PeerLink::sendHeartbeat()
 {
     if (!isUp())
         return;
@@ -100,8 +100,8 @@
         handleConfigFrame(frame);
         return;
     default:
-        if (m_handlers.onOther)
-            m_handlers.onOther(*this, frame, raw);
+        if (m_handlers.onOtherFrame)
+            m_handlers.onOtherFrame(*this, frame, raw);
         return;
     }
 }
@@ -114,9 +114,9 @@
     }
     m_peer = {
         .role = hello.role(),
-        .name = text(hello.name()),
-        .service = text(hello.service()),
-        .dataCentre = text(hello.data_centre()),
+        .name = toStdString(hello.name()),
+        .service = toStdString(hello.service()),
+        .dataCentre = toStdString(hello.data_centre()),
         .token = { hello.upstream(), hello.incarnation() },
     };
     if (const auto refusal = m_handlers.onHello(m_peer)) {
@@ -127,8 +127,8 @@
     m_peerConfigVersion = hello.config_version();
     if (m_handlers.onUp)
         m_handlers.onUp(*this);
-    heartbeatNow();
-    reconcileConfig();
+    sendHeartbeat();
+    fetchConfigIfBehind();
     scheduleHeartbeat();
 }
 
@@ -136,25 +136,25 @@
 {
     m_peerConfigVersion = heartbeat.config_version();
     m_peerInterval = heartbeat.interval();
-    m_link->setSilenceLimit(std::max<Millis>(m_ownSilenceLimit, missedHeartbeats * pause()));
-    if (m_handlers.onLoad) {
-        m_handlers.onLoad(*this, {
-                                     .openFlows = heartbeat.open_flows(),
-                                     .busy = heartbeat.busy(),
-                                     .queued = heartbeat.queued(),
-                                     .limit = heartbeat.limit(),
-                                     .links = heartbeat.links(),
-                                     .state = fromNumber<MemberState>(heartbeat.member_state()).value_or(MemberState::Draining),
-                                 });
+    m_link->setSilenceLimit(std::max<Millis>(m_ownSilenceLimit, maxMissedHeartbeats * negotiatedInterval()));
+    if (m_handlers.onLoadReport) {
+        m_handlers.onLoadReport(*this, {
+                                           .openFlows = heartbeat.open_flows(),
+                                           .busy = heartbeat.busy(),
+                                           .queued = heartbeat.queued(),
+                                           .limit = heartbeat.limit(),
+                                           .links = heartbeat.links(),
+                                           .state = fromNumber<MemberState>(heartbeat.member_state()).value_or(MemberState::Draining),
+                                       });
     }
-    reconcileConfig();
+    fetchConfigIfBehind();
 }
 
 void PeerLink::handleGoodbye(const wire::Goodbye& goodbye)
 {
-    m_isLeaving = true;
-    if (m_handlers.onLeaving)
-        m_handlers.onLeaving(*this, goodbye.reason());
+    m_hasReceivedGoodbye = true;
+    if (m_handlers.onGoodbye)
+        m_handlers.onGoodbye(*this, goodbye.reason());
 }
 
 void PeerLink::handleConfigFrame(const wire::Frame& frame)
@@ -163,15 +163,15 @@
         for (Bytes& part : m_config.snapshotFor(fetch->have()))
             m_link->send(std::move(part));
     } else if (const auto* snapshot = frame.body_as_ConfigSnapshot()) {
-        m_config.takeSnapshot(*snapshot);
+        m_config.receiveSnapshotPart(*snapshot);
     }
 }
 
 // A slow fabric or platform can leave a process on an old configuration, so that it still sends packets to a data centre
 // that was taken out. Heartbeats carry the version in force, and a process that is behind fetches the newer one.
-void PeerLink::reconcileConfig()
+void PeerLink::fetchConfigIfBehind()
 {
-    if (nextConfigStep(m_config.version(), m_peerConfigVersion) != ConfigStep::Fetch || !m_config.mayFetch(m_clock.now()))
+    if (nextConfigStep(m_config.version(), m_peerConfigVersion) != ConfigStep::Fetch || !m_config.tryStartFetch(m_clock.now()))
         return;
     wire::ConfigFetchT fetch;
     fetch.have = m_config.version();
@@ -181,7 +181,7 @@
 // Both sides announce the interval they want, and both use the longer one. An agent with few links would otherwise send
 // heartbeats to a balancer with thousands of links at its own short interval, and the balancer's control traffic would grow
 // with the number of agents.
-Millis PeerLink::pause() const
+Millis PeerLink::negotiatedInterval() const
 {
     return std::max(m_handlers.heartbeatInterval(), m_peerInterval);
 }
@@ -189,11 +189,11 @@
 void PeerLink::scheduleHeartbeat()
 {
     auto self = shared_from_this();
-    m_timer.expires_after(std::chrono::milliseconds(pause()));
+    m_timer.expires_after(std::chrono::milliseconds(negotiatedInterval()));
     m_timer.async_wait([self](asio::error_code error) {
         if (error || !self->isUp())
             return;
-        self->heartbeatNow();
+        self->sendHeartbeat();
         self->scheduleHeartbeat();
     });
 }
--- a/src/kingcuptraild/peerlink.h
+++ b/src/kingcuptraild/peerlink.h
@@ -12,7 +12,7 @@
 
 namespace kingcuptrail {
 
-class ConfigKeeper;
+class ActiveConfig;
 
 /// Identity of a peer, as given in its hello.
 struct PeerIdentity {
@@ -44,18 +44,18 @@
         /// Called when the peer's hello was accepted.
         std::function<void(PeerLink&)> onUp;
         std::function<void(PeerLink&, const wire::Packet&, std::span<const std::uint8_t> raw)> onPacket;
-        std::function<void(PeerLink&, const LoadReport&)> onLoad;
+        std::function<void(PeerLink&, const LoadReport&)> onLoadReport;
         /// The peer sent a goodbye and must get no more work. The link stays open until one side closes it.
-        std::function<void(PeerLink&, wire::GoodbyeReason)> onLeaving;
+        std::function<void(PeerLink&, wire::GoodbyeReason)> onGoodbye;
         /// Called for frames of all other kinds.
-        std::function<void(PeerLink&, const wire::Frame&, std::span<const std::uint8_t> raw)> onOther;
+        std::function<void(PeerLink&, const wire::Frame&, std::span<const std::uint8_t> raw)> onOtherFrame;
         std::function<void(PeerLink&, LinkError)> onClosed;
         /// Provide the load for the next heartbeat, and the interval until the one after it, in milliseconds.
         std::function<LoadReport()> reportLoad;
         std::function<Millis()> heartbeatInterval;
     };
 
-    PeerLink(asio::io_context& context, std::shared_ptr<Link> link, wire::HelloT hello, ConfigKeeper& config, Handlers handlers);
+    PeerLink(asio::io_context& context, std::shared_ptr<Link> link, wire::HelloT hello, ActiveConfig& config, Handlers handlers);
 
     void start();
 
@@ -63,7 +63,7 @@
     void send(Bytes frame) { m_link->send(std::move(frame)); }
 
     /// Sends a heartbeat at once, so that the peer learns of a change of state or configuration before the next regular one.
-    void heartbeatNow();
+    void sendHeartbeat();
 
     /// Sends a goodbye: this process is shutting down, or it refuses the peer. `closeAfter` also closes the link.
     void goodbye(wire::GoodbyeReason reason, bool closeAfter);
@@ -72,9 +72,9 @@
 
     bool isOpen() const { return m_link->isOpen(); }
     bool isUp() const { return m_isUp && m_link->isOpen(); }
-    bool isLeaving() const { return m_isLeaving; }
+    bool hasReceivedGoodbye() const { return m_hasReceivedGoodbye; }
     /// Whether packets may be sent to the peer.
-    bool isUsable() const { return isUp() && !m_isLeaving; }
+    bool isUsable() const { return isUp() && !m_hasReceivedGoodbye; }
     const PeerIdentity& peer() const { return m_peer; }
     ConfigVersion peerConfigVersion() const { return m_peerConfigVersion; }
     const Link& link() const { return *m_link; }
@@ -85,15 +85,15 @@
     void handleHeartbeat(const wire::Heartbeat& heartbeat);
     void handleGoodbye(const wire::Goodbye& goodbye);
     void handleConfigFrame(const wire::Frame& frame);
-    void reconcileConfig();
+    void fetchConfigIfBehind();
     void scheduleHeartbeat();
-    Millis pause() const;
+    Millis negotiatedInterval() const;
     void refuse(wire::GoodbyeReason reason);
 
     std::shared_ptr<Link> m_link;
     asio::steady_timer m_timer;
     wire::HelloT m_hello;
-    ConfigKeeper& m_config;
+    ActiveConfig& m_config;
     Handlers m_handlers;
     PeerIdentity m_peer;
     ConfigVersion m_peerConfigVersion = 0;
@@ -101,7 +101,7 @@
     Millis m_ownSilenceLimit = 0;
     Millis m_peerInterval = 0;
     bool m_isUp = false;
-    bool m_isLeaving = false;
+    bool m_hasReceivedGoodbye = false;
 };
 
 }
--- a/src/kingcuptraild/troublelog.h
+++ b/src/kingcuptraild/platformoutagelog.h
@@ -5,10 +5,10 @@
 namespace kingcuptrail {
 
 /// Logs the beginning and the end of a platform outage, instead of each failed call.
-class TroubleLog {
+class PlatformOutageLog {
 public:
     /// Records the error of the last platform call, or None.
-    void note(PlatformError lastReason);
+    void update(PlatformError lastReason);
 
     /// The error of the current outage, or None.
     PlatformError current() const { return m_current; }
--- a/src/kingcuptraild/role.h
+++ b/src/kingcuptraild/role.h
@@ -14,7 +14,7 @@
     virtual bool isStarted() const { return true; }
 
     /// Fields of this role for the status page, as the members of a JSON object without its braces.
-    virtual std::string statusMembers() const = 0;
+    virtual std::string statusFields() const = 0;
 
     /// Appends this role's metrics in text exposition format.
     virtual void exposeMetrics(std::string& out) const = 0;
--- a/src/kingcuptraild/rolecontext.h
+++ b/src/kingcuptraild/rolecontext.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "configkeeper.h"
+#include "activeconfig.h"
 #include "libplatform/platformclient.h"
 #include "libruntime/clock.h"
 #include "libruntime/settings.h"
@@ -16,7 +16,7 @@
     const Settings& settings;
     const PlatformOptions& platform;
     const Clock& clock;
-    ConfigKeeper& config;
+    ActiveConfig& config;
     Supervisor& root;
 };
 
--- a/src/kingcuptraild/watchers.h
+++ b/src/kingcuptraild/watchers.h
@@ -7,7 +7,7 @@
 namespace kingcuptrail {
 
 /// Supervised watcher that updates the process's configuration from the platform.
-class ConfigFollower : public Supervised {
+class SupervisedConfigWatcher : public Supervised {
 public:
     enum class Mode : std::uint8_t {
         Follow,
@@ -15,9 +15,9 @@
         Once,
     };
 
-    ConfigFollower(const RoleContext& role, Mode mode)
+    SupervisedConfigWatcher(const RoleContext& role, Mode mode)
         : m_watcher(
-            role.context, role.platform, [&config = role.config](const Config& next) { config.offer(next); }, mode == Mode::Once)
+            role.context, role.platform, [&config = role.config](const Config& next) { config.applyIfNewer(next); }, mode == Mode::Once)
     {
     }
 
@@ -26,10 +26,10 @@
 };
 
 /// Supervised watcher that reports the announcements of all agents.
-class PresenceFollower : public Supervised {
+class SupervisedPresenceWatcher : public Supervised {
 public:
-    PresenceFollower(const RoleContext& role, PresenceWatcher::OnPresence onPresence, PresenceWatcher::IsInDoubt isInDoubt)
-        : m_watcher(role.context, role.platform, std::move(onPresence), std::move(isInDoubt))
+    SupervisedPresenceWatcher(const RoleContext& role, PresenceWatcher::OnPresence onPresence, PresenceWatcher::IsInDoubt needsLeaseCheck)
+        : m_watcher(role.context, role.platform, std::move(onPresence), std::move(needsLeaseCheck))
     {
     }
 
--- a/tests/daemon/testconfigkeeper.cpp
+++ b/tests/daemon/testactiveconfig.cpp
@@ -1,4 +1,4 @@
-#include "kingcuptraild/configkeeper.h"
+#include "kingcuptraild/activeconfig.h"
 
 #include <algorithm>
 #include <cppunit/extensions/HelperMacros.h>
@@ -6,12 +6,12 @@
 
 using namespace kingcuptrail;
 
-class TestConfigKeeper : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(TestConfigKeeper);
-    CPPUNIT_TEST(olderConfigurationNeverReturns);
+class TestActiveConfig : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(TestActiveConfig);
+    CPPUNIT_TEST(olderConfigurationIsIgnored);
     CPPUNIT_TEST(deltasBringEveryPeerToTheSameConfiguration);
-    CPPUNIT_TEST(changeCostsWhatChanged);
-    CPPUNIT_TEST(onlyOnePeerIsAskedAtATime);
+    CPPUNIT_TEST(snapshotHoldsOnlyChanges);
+    CPPUNIT_TEST(fetchesAreRateLimited);
     CPPUNIT_TEST_SUITE_END();
 
     static ServiceConfig service(std::size_t number, std::uint32_t slots)
@@ -32,7 +32,7 @@
         return made;
     }
 
-    static void sendAll(const ConfigKeeper& from, ConfigKeeper& to)
+    static void sendSnapshot(const ActiveConfig& from, ActiveConfig& to)
     {
         std::vector<Bytes> frames = from.snapshotFor(to.version());
         std::reverse(frames.begin(), frames.end());
@@ -41,7 +41,7 @@
             reader.append(bytes);
             const auto view = reader.next();
             CPPUNIT_ASSERT(view);
-            to.takeSnapshot(*view->frame->body_as_ConfigSnapshot());
+            to.receiveSnapshotPart(*view->frame->body_as_ConfigSnapshot());
         }
     }
 
@@ -53,16 +53,16 @@
 
     // Guards against a data centre that returns to service by itself: an operator takes it out, and a slow watch then delivers
     // the previous version.
-    void olderConfigurationNeverReturns()
+    void olderConfigurationIsIgnored()
     {
-        ConfigKeeper keeper;
+        ActiveConfig activeConfig;
         Config out = config(8, 2);
         out.dataCentres[1].out = true;
-        CPPUNIT_ASSERT(keeper.offer(out));
-        CPPUNIT_ASSERT(!keeper.offer(config(7, 2)));
-        CPPUNIT_ASSERT(!keeper.offer(config(8, 2)));
-        CPPUNIT_ASSERT(keeper.current().isOut("south"));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t { 1 }, keeper.olderIgnored());
+        CPPUNIT_ASSERT(activeConfig.applyIfNewer(out));
+        CPPUNIT_ASSERT(!activeConfig.applyIfNewer(config(7, 2)));
+        CPPUNIT_ASSERT(!activeConfig.applyIfNewer(config(8, 2)));
+        CPPUNIT_ASSERT(activeConfig.current().isOut("south"));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t { 1 }, activeConfig.olderIgnored());
     }
 
     // Guards against processes that diverge. One follows the platform, one gets every change from the first, and one gets a
@@ -70,9 +70,9 @@
     void deltasBringEveryPeerToTheSameConfiguration()
     {
         std::mt19937 random(11);
-        ConfigKeeper source;
-        ConfigKeeper near;
-        ConfigKeeper far;
+        ActiveConfig source;
+        ActiveConfig near;
+        ActiveConfig far;
         Config current = config(1, 450);
         for (ConfigVersion version = 1; version < 60; ++version) {
             current.version = version;
@@ -84,41 +84,41 @@
             else
                 current.services[place].slots = static_cast<std::uint32_t>(random() % 20 + 1);
             current.dataCentres[1].out = random() % 2;
-            source.offer(current);
-            sendAll(source, near);
+            source.applyIfNewer(current);
+            sendSnapshot(source, near);
             CPPUNIT_ASSERT(sorted(near.current()) == sorted(current));
             if (random() % 7 == 0) {
-                sendAll(random() % 2 ? source : near, far);
+                sendSnapshot(random() % 2 ? source : near, far);
                 CPPUNIT_ASSERT(sorted(far.current()) == sorted(current));
             }
         }
     }
 
-    void changeCostsWhatChanged()
+    void snapshotHoldsOnlyChanges()
     {
-        ConfigKeeper source;
+        ActiveConfig source;
         Config current = config(1, 1900);
-        source.offer(current);
+        source.applyIfNewer(current);
         const auto whole = source.snapshotFor(0);
         CPPUNIT_ASSERT(whole.size() > 1);
         for (const Bytes& part : whole)
             CPPUNIT_ASSERT(part.size() < maxFrameBytes);
         current.version = 2;
         current.services[7].slots = 9;
-        source.offer(current);
+        source.applyIfNewer(current);
         const auto change = source.snapshotFor(1);
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, change.size());
         CPPUNIT_ASSERT(change[0].size() < 1024);
         CPPUNIT_ASSERT(source.snapshotFor(2).empty());
     }
 
-    void onlyOnePeerIsAskedAtATime()
+    void fetchesAreRateLimited()
     {
-        ConfigKeeper keeper;
-        CPPUNIT_ASSERT(keeper.mayFetch(1000));
-        CPPUNIT_ASSERT(!keeper.mayFetch(1200));
-        CPPUNIT_ASSERT(keeper.mayFetch(1600));
+        ActiveConfig activeConfig;
+        CPPUNIT_ASSERT(activeConfig.tryStartFetch(1000));
+        CPPUNIT_ASSERT(!activeConfig.tryStartFetch(1200));
+        CPPUNIT_ASSERT(activeConfig.tryStartFetch(1600));
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(TestConfigKeeper);
+CPPUNIT_TEST_SUITE_REGISTRATION(TestActiveConfig);
--- a/tests/daemon/testagentannouncement.cpp
+++ b/tests/daemon/testagentannouncement.cpp
@@ -7,11 +7,11 @@
 class TestAgentAnnouncement : public PlatformFixture {
     CPPUNIT_TEST_SUITE(TestAgentAnnouncement);
     CPPUNIT_TEST(entryOfAnEarlierProcessIsWithdrawn);
-    CPPUNIT_TEST(withdrawalOutlastsAnOutage);
-    CPPUNIT_TEST(nothingToWithdrawEndsAtOnce);
-    CPPUNIT_TEST(restartBesideALivingUpstreamWritesNothing);
-    CPPUNIT_TEST(oldAnswerIsNotTrustedForGood);
-    CPPUNIT_TEST(whatThisProcessHasTakenOutIsWrittenAnew);
+    CPPUNIT_TEST(withdrawalIsRetriedDuringAnOutage);
+    CPPUNIT_TEST(withdrawalWithoutEntryEndsAtOnce);
+    CPPUNIT_TEST(restartBesideARunningUpstreamWritesNothing);
+    CPPUNIT_TEST(staleAnswerIsCheckedAgain);
+    CPPUNIT_TEST(entryWithdrawnByThisProcessIsWrittenAgain);
     CPPUNIT_TEST(upstreamThatComesBackIsAnnouncedAgain);
     CPPUNIT_TEST_SUITE_END();
 
@@ -50,7 +50,7 @@
     }
 
     // Guards against a withdrawal that is attempted only once: the store may refuse the calls of the agent's host for a moment.
-    void withdrawalOutlastsAnOutage()
+    void withdrawalIsRetriedDuringAnOutage()
     {
         announce();
         AgentAnnouncement next(m_context, m_options);
@@ -65,7 +65,7 @@
         CPPUNIT_ASSERT(!isInStore());
     }
 
-    void nothingToWithdrawEndsAtOnce()
+    void withdrawalWithoutEntryEndsAtOnce()
     {
         AgentAnnouncement announcement(m_context, m_options);
         bool isDone = false;
@@ -75,7 +75,7 @@
     }
 
     // Guards against a write and another read for every agent when all agents are restarted at once.
-    void restartBesideALivingUpstreamWritesNothing()
+    void restartBesideARunningUpstreamWritesNothing()
     {
         announce();
         const std::size_t writes = countCalls("PUT", "agent-1");
@@ -92,7 +92,7 @@
 
     // Guards against an agent without an entry in the store: the previous process has just withdrawn the entry, and the new
     // one reads an answer of the store that is some seconds old and still contains it.
-    void oldAnswerIsNotTrustedForGood()
+    void staleAnswerIsCheckedAgain()
     {
         announce();
         constexpr Millis oldest = 50;
@@ -108,7 +108,7 @@
     }
 
     // Guards against the same failure when the upstream is replaced while the agent's process stays.
-    void whatThisProcessHasTakenOutIsWrittenAnew()
+    void entryWithdrawnByThisProcessIsWrittenAgain()
     {
         AgentAnnouncement announcement(m_context, m_options);
         announcement.write(entry());
--- a/tests/daemon/testbadinput.cpp
+++ b/tests/daemon/testbadinput.cpp
@@ -1,5 +1,5 @@
+#include "kingcuptraild/activeconfig.h"
 #include "kingcuptraild/agent/flowtable.h"
-#include "kingcuptraild/configkeeper.h"
 #include "kingcuptraild/listener.h"
 #include "kingcuptraild/peerlink.h"
 
@@ -15,9 +15,9 @@
 constexpr Millis testLimit = 8000;
 
 /// The listening port of a daemon, with one raw client. Reports why the daemon closed the link.
-class Port {
+class DaemonPort {
 public:
-    explicit Port(const LinkOptions& options)
+    explicit DaemonPort(const LinkOptions& options)
         : m_listener(
             m_context, { asio::ip::address_v4::loopback(), 0 }, options, [this](std::shared_ptr<Link> link) { accept(std::move(link)); }, [](ChildFailure) {})
         , m_client(m_context)
@@ -31,9 +31,9 @@
         asio::write(m_client, asio::buffer(bytes), ignored);
     }
 
-    void endClient() { m_client.close(); }
+    void closeClient() { m_client.close(); }
 
-    LinkError closedFor()
+    LinkError closeReason()
     {
         const Clock clock;
         const Millis end = clock.now() + testLimit;
@@ -58,7 +58,7 @@
     }
 
     asio::io_context m_context;
-    ConfigKeeper m_config;
+    ActiveConfig m_config;
     std::shared_ptr<PeerLink> m_peer;
     Listener m_listener;
     asio::ip::tcp::socket m_client;
@@ -73,13 +73,13 @@
     return encodeFrameOf(body);
 }
 
-Bytes cut(Bytes bytes, std::size_t length)
+Bytes truncated(Bytes bytes, std::size_t length)
 {
     bytes.resize(length);
     return bytes;
 }
 
-Bytes joined(Bytes first, const Bytes& second)
+Bytes concatenated(Bytes first, const Bytes& second)
 {
     first.insert(first.end(), second.begin(), second.end());
     return first;
@@ -89,15 +89,15 @@
 
 class TestBadInput : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(TestBadInput);
-    CPPUNIT_TEST(eachKindOfBadPeerIsClosedForItsReason);
-    CPPUNIT_TEST(peerThatGoesAwayIsNoticed);
-    CPPUNIT_TEST(mutatedFramesNeverPassAsPackets);
-    CPPUNIT_TEST(hostilePacketsOpenNothing);
+    CPPUNIT_TEST(invalidPeersAreClosedForTheRightReason);
+    CPPUNIT_TEST(closedConnectionIsDetected);
+    CPPUNIT_TEST(mutatedFramesAreSafeToRead);
+    CPPUNIT_TEST(randomPacketsOpenNoForeignFlow);
     CPPUNIT_TEST_SUITE_END();
 
     // Guards against links that stay open without a valid peer, such as a port scanner, a wrong program or a peer that hangs
     // in the middle of a frame. The daemon must close each link within its limits and report the right reason.
-    void eachKindOfBadPeerIsClosedForItsReason()
+    void invalidPeersAreClosedForTheRightReason()
     {
         const LinkOptions limits { .handshakeTimeout = 300, .silenceLimit = 700, .frameTimeout = 300 };
         const Bytes good = hello(wire::Role::Balancer);
@@ -108,36 +108,36 @@
         } cases[] {
             { "nothing", {}, LinkError::HandshakeTimeout },
             { "another protocol", { 'G', 'E', 'T', ' ', '/', ' ', 'H', 'T', 'T', 'P' }, LinkError::FrameTooLarge },
-            { "garbage in a frame", joined({ 16, 0, 0, 0 }, Bytes(16, 0xab)), LinkError::BadFrame },
+            { "garbage in a frame", concatenated({ 16, 0, 0, 0 }, Bytes(16, 0xab)), LinkError::BadFrame },
             { "empty frame", { 0, 0, 0, 0 }, LinkError::BadFrame },
             { "oversized frame", { 0, 0, 0, 1 }, LinkError::FrameTooLarge },
-            { "half a hello", cut(good, good.size() / 2), LinkError::HandshakeTimeout },
-            { "half a frame after the hello", joined(good, cut(good, good.size() / 2)), LinkError::SlowFrame },
+            { "half a hello", truncated(good, good.size() / 2), LinkError::HandshakeTimeout },
+            { "half a frame after the hello", concatenated(good, truncated(good, good.size() / 2)), LinkError::SlowFrame },
             { "silence after the hello", good, LinkError::Silent },
             { "a role that is not expected", hello(wire::Role::Fabric), LinkError::NotExpected },
             { "a role that does not exist", hello(static_cast<wire::Role>(77)), LinkError::NotExpected },
             { "another protocol version", hello(wire::Role::Balancer, protocolVersion + 1), LinkError::NotExpected },
             { "a frame before the hello", encodeFrameOf(wire::HeartbeatT()), LinkError::NotExpected },
-            { "a second hello", joined(good, good), LinkError::NotExpected },
+            { "a second hello", concatenated(good, good), LinkError::NotExpected },
         };
         for (const auto& badPeer : cases) {
-            Port port(limits);
+            DaemonPort port(limits);
             port.write(badPeer.sent);
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(badPeer.name, std::string(nameOf(badPeer.reason)), std::string(nameOf(port.closedFor())));
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(badPeer.name, std::string(nameOf(badPeer.reason)), std::string(nameOf(port.closeReason())));
         }
     }
 
-    void peerThatGoesAwayIsNoticed()
+    void closedConnectionIsDetected()
     {
-        Port port({});
+        DaemonPort port({});
         port.write(hello(wire::Role::Balancer));
-        port.endClient();
-        CPPUNIT_ASSERT_EQUAL(std::string("peerClosed"), std::string(nameOf(port.closedFor())));
+        port.closeClient();
+        CPPUNIT_ASSERT_EQUAL(std::string("peerClosed"), std::string(nameOf(port.closeReason())));
     }
 
     // Guards against unsafe reads of corrupted frames, or of frames from a different build. Every field of a frame that passes
     // the verifier must be safe to read.
-    void mutatedFramesNeverPassAsPackets()
+    void mutatedFramesAreSafeToRead()
     {
         std::mt19937 random(20261202);
         wire::PacketT packet;
@@ -165,19 +165,19 @@
 
     // Guards against a hostile caller that sends packets with random fields. No packet may open a flow for an address of
     // another service, and the number of flows must stay within its limit.
-    void hostilePacketsOpenNothing()
+    void randomPacketsOpenNoForeignFlow()
     {
         std::mt19937_64 random(7);
         const Clock clock;
         std::size_t messages = 0;
-        FlowTable desk(clock, { .flowLimit = 50 },
+        FlowTable flowTable(clock, { .flowLimit = 50 },
             { .onMessage = [&](FlowId, const wire::Message&) { return ++messages > 0; },
-                .onRoom = [](FlowId) {},
+                .onWritable = [](FlowId) {},
                 .onEnded = [](FlowId) {},
-                .isHeld = [] { return false; },
+                .mustDropPackets = [] { return false; },
                 .hasRequests = [](FlowId) { return false; } });
-        desk.setOwnToken({ 5, 2 });
-        desk.setService(99);
+        flowTable.setOwnToken({ 5, 2 });
+        flowTable.setService(99);
         const auto send = [&](ServiceAddress service) {
             wire::PacketT packet;
             packet.kind = static_cast<wire::PacketKind>(random() % 8);
@@ -192,14 +192,14 @@
             const Bytes bytes = encodeFrameOf(std::move(packet));
             FrameReader reader;
             reader.append(bytes);
-            desk.handlePacket(nullptr, *reader.next()->frame->body_as_Packet());
+            flowTable.handlePacket(nullptr, *reader.next()->frame->body_as_Packet());
         };
         for (int round = 0; round < 5000; ++round)
             send(random() % 98);
-        CPPUNIT_ASSERT_EQUAL(std::size_t { 0 }, desk.flowCount());
+        CPPUNIT_ASSERT_EQUAL(std::size_t { 0 }, flowTable.flowCount());
         for (int round = 0; round < 5000; ++round)
             send(99);
-        CPPUNIT_ASSERT(desk.flowCount() > 0 && desk.flowCount() <= 50);
+        CPPUNIT_ASSERT(flowTable.flowCount() > 0 && flowTable.flowCount() <= 50);
         CPPUNIT_ASSERT_EQUAL(std::size_t { 0 }, messages);
     }
 };
--- a/tests/daemon/testmembertable.cpp
+++ b/tests/daemon/testmembertable.cpp
@@ -32,7 +32,7 @@
     void flowsOfAnEndedProcessAreResetAtOnce()
     {
         MemberTable table = makeTable();
-        table.setGone(board);
+        table.setProcessEnded(board);
         CPPUNIT_ASSERT(route(table).action == RouteAction::ResetFlow);
         CPPUNIT_ASSERT(route(table).reason == RefusalReason::OwnerGone);
     }
--- a/tests/trustplatform/testpacketagent.cpp
+++ b/tests/trustplatform/testpacketagent.cpp
@@ -33,7 +33,7 @@
 
         Settings settings;
         Clock clock;
-        ConfigKeeper config;
+        ActiveConfig config;
         Supervisor root;
         RoleContext role;
         PacketAgent agent;
