--- a/src/kingcuptrailctl/applycommand.cpp
+++ b/src/kingcuptrailctl/applycommand.cpp
@@ -61,9 +61,9 @@
         return describeInForce(waitInForce(report.version, options), std::move(text), std::move(members));
     }
 
-    CommandResult setOut(const std::string& dataCentre, bool out, const CtlOptions& options)
+    CommandResult setDataCentreOut(const std::string& dataCentre, bool out, const CtlOptions& options)
     {
-        const ApplyReport report = change(options, [&](ConfigApply& apply, ConfigApply::Handler handler) { apply.setOut(dataCentre, out, std::move(handler)); });
+        const ApplyReport report = change(options, [&](ConfigApply& apply, ConfigApply::Handler handler) { apply.setDataCentreOut(dataCentre, out, std::move(handler)); });
         return describe(report, options);
     }
 
@@ -81,12 +81,12 @@
 
 CommandResult takeOut(const std::string& dataCentre, const CtlOptions& options)
 {
-    return setOut(dataCentre, true, options);
+    return setDataCentreOut(dataCentre, true, options);
 }
 
 CommandResult bringBack(const std::string& dataCentre, const CtlOptions& options)
 {
-    return setOut(dataCentre, false, options);
+    return setDataCentreOut(dataCentre, false, options);
 }
 
 }
--- a/src/kingcuptrailctl/filecommands.cpp
+++ b/src/kingcuptrailctl/filecommands.cpp
@@ -82,7 +82,7 @@
     const Config from = present.config.value_or(Config {});
     Table table({ "CHANGE", "NAME", "DETAIL" });
     json list = json::array();
-    for (const ConfigChange& change : diffConfigs(from, withKeptStates(*wanted, from.dataCentres))) {
+    for (const ConfigChange& change : diffConfigs(from, withInheritedStates(*wanted, from.dataCentres))) {
         table.add({ std::string(nameOf(change.kind)), change.name, change.detail });
         list.push_back({ { "kind", nameOf(change.kind) }, { "name", change.name }, { "detail", change.detail } });
     }
--- a/src/kingcuptraild/daemon.cpp
+++ b/src/kingcuptraild/daemon.cpp
@@ -72,7 +72,7 @@
         options.callTimeout = packetCallTimeout;
         options.watchWait = packetWatchWait;
         options.pathSilenceLimit = storeSilenceLimit;
-        options.retryMax = 1000;
+        options.maxRetryDelay = 1000;
         return options;
     }
 
--- a/src/kingcuptraild/packets/agentannouncement.cpp
+++ b/src/kingcuptraild/packets/agentannouncement.cpp
@@ -22,7 +22,7 @@
     : m_options(options)
     , m_client(context, platform)
     , m_delay(context)
-    , m_backoff(platform.retryFirst, platform.retryMax)
+    , m_backoff(platform.minRetryDelay, platform.maxRetryDelay)
 {
 }
 
@@ -39,7 +39,7 @@
 void AgentAnnouncement::startWrite()
 {
     if (m_version == 0 && !m_isStaleReadDone)
-        read(ListFreshness::MayBeOld);
+        read(ReadFreshness::MayBeStale);
     else
         put();
 }
@@ -54,7 +54,7 @@
             if (!object && reason != PlatformError::NotFound)
                 logEvent(Event::PlatformTrouble, { { "reason", nameOf(reason) }, { "call", "find" } });
         },
-        ListFreshness::MayBeOld);
+        ReadFreshness::MayBeStale);
 }
 
 void AgentAnnouncement::put()
@@ -71,7 +71,7 @@
             if (!m_isWritten)
                 put();
         } else if (reason == PlatformError::Conflict || reason == PlatformError::NotFound) {
-            read(ListFreshness::Current);
+            read(ReadFreshness::Current);
         } else {
             retryPut(reason);
         }
@@ -80,7 +80,7 @@
 
 // Reads the entry before it is written: an earlier process of this agent may have written it, or a put() of this process
 // whose answer was lost.
-void AgentAnnouncement::read(ListFreshness freshness)
+void AgentAnnouncement::read(ReadFreshness freshness)
 {
     m_isBusy = true;
     m_client.get(
@@ -110,14 +110,14 @@
 
 // Keeps the entry that the store has. After a stale read it is read once more, because the previous process of this agent
 // may have removed it a moment before.
-void AgentAnnouncement::keepStoredEntry(ListFreshness freshness)
+void AgentAnnouncement::keepStoredEntry(ReadFreshness freshness)
 {
     m_isWritten = true;
-    if (freshness == ListFreshness::Current || std::exchange(m_isStaleReadDone, true))
+    if (freshness == ReadFreshness::Current || std::exchange(m_isStaleReadDone, true))
         return;
     m_delay.start(m_options.rereadDelay, [this] {
         if (!m_isBusy && m_withdrawnName.empty())
-            read(ListFreshness::MayBeOld);
+            read(ReadFreshness::MayBeStale);
     });
 }
 
--- a/src/kingcuptraild/packets/agentannouncement.h
+++ b/src/kingcuptraild/packets/agentannouncement.h
@@ -37,8 +37,8 @@
 private:
     void startWrite();
     void put();
-    void read(ListFreshness freshness);
-    void keepStoredEntry(ListFreshness freshness);
+    void read(ReadFreshness freshness);
+    void keepStoredEntry(ReadFreshness freshness);
     void retryPut(PlatformError reason);
     void readAndRemove();
     void remove(ObjectVersion version);
--- a/src/kingcuptraild/packets/packetagent.cpp
+++ b/src/kingcuptraild/packets/packetagent.cpp
@@ -238,9 +238,9 @@
 
 HttpResponse PacketAgent::handleUpstreamRequest(const HttpRequest& request)
 {
-    const UpstreamCall call = m_state.adapter.readUpstreamCall(request);
+    const UpstreamRequest call = m_state.adapter.decodeUpstreamRequest(request);
     switch (call.kind) {
-    case UpstreamCall::Kind::Report:
+    case UpstreamRequest::Kind::Report:
         if (!call.report) {
             m_malformedRequests.increment(call.error);
             logEvent(Event::ForeignReport, { { "reason", nameOf(call.error) }, { "id", call.id } });
@@ -248,7 +248,7 @@
         }
         handleReport(*call.report);
         return jsonReply(200, "{}");
-    case UpstreamCall::Kind::Farewell:
+    case UpstreamRequest::Kind::ShutdownNotice:
         if (applyShutdownNotice(m_state.flowAdmission, call.id)) {
             logEvent(Event::UpstreamLeft, { { "upstream", call.id } });
             recordShutdown(m_untrackedFlows);
@@ -256,7 +256,7 @@
             announceState();
         }
         return jsonReply(200, "{}");
-    case UpstreamCall::Kind::Unknown:
+    case UpstreamRequest::Kind::Unknown:
         break;
     }
     return jsonReply(404, "{}");
--- a/src/kingcuptraild/packets/peerlookup.cpp
+++ b/src/kingcuptraild/packets/peerlookup.cpp
@@ -32,7 +32,7 @@
         else
             logEvent(Event::PlatformTrouble, { { "reason", nameOf(reason) }, { "call", "lookup" } });
     };
-    m_client.list(agentKind, handler, ListFreshness::MayBeOld);
+    m_client.list(agentKind, handler, ReadFreshness::MayBeStale);
 }
 
 void PeerLookup::handleListing(const ObjectList& objects)
--- a/src/kingcuptraild/packets/storefollower.cpp
+++ b/src/kingcuptraild/packets/storefollower.cpp
@@ -62,7 +62,7 @@
     return {
         .onList = [this](const ObjectList& list) { updateRoutes(list); },
         .onChanges = [this](const ObjectList& changes) { updateRoutes(changes); },
-        .onTrouble = [this](PlatformError) { recordStoreFailure(); },
+        .onError = [this](PlatformError) { recordStoreFailure(); },
     };
 }
 
@@ -73,7 +73,7 @@
             m_outDataCentres.clear();
             updateOutages(list); },
         .onChanges = [this](const ObjectList& changes) { updateOutages(changes); },
-        .onTrouble = [this](PlatformError) { recordStoreFailure(); },
+        .onError = [this](PlatformError) { recordStoreFailure(); },
     };
 }
 
@@ -82,7 +82,7 @@
     return {
         .onList = [this](const ObjectList& list) { updateAgents(list); },
         .onChanges = [](const ObjectList&) {},
-        .onTrouble = [this](PlatformError) { recordStoreFailure(); },
+        .onError = [this](PlatformError) { recordStoreFailure(); },
     };
 }
 
@@ -97,7 +97,7 @@
             m_routes.restart();
             m_outages.restart(); },
         .onChanges = [](const ObjectList&) {},
-        .onTrouble = [this](PlatformError) {
+        .onError = [this](PlatformError) {
             m_isUnresponsive = true;
             recordStoreFailure(); },
     };
@@ -108,7 +108,7 @@
     recordStoreAnswer();
     for (const PlatformObject& object : objects.objects) {
         DecodeError error = DecodeError::None;
-        if (auto routes = m_adapter.readRoutes(object, error))
+        if (auto routes = m_adapter.decodeRoutes(object, error))
             m_network.updateRoutes(std::move(*routes));
         else if (error != DecodeError::None)
             logForeignObject(m_adapter.routesKind, object.name, error);
--- a/src/kingcuptraild/watchers.h
+++ b/src/kingcuptraild/watchers.h
@@ -28,7 +28,7 @@
 /// Supervised watcher that reports the announcements of all agents.
 class SupervisedPresenceWatcher : public Supervised {
 public:
-    SupervisedPresenceWatcher(const RoleContext& role, PresenceWatcher::OnPresence onPresence, PresenceWatcher::IsInDoubt needsLeaseCheck)
+    SupervisedPresenceWatcher(const RoleContext& role, PresenceWatcher::OnPresence onPresence, PresenceWatcher::NeedsLeaseCheck needsLeaseCheck)
         : m_watcher(role.context, role.platform, std::move(onPresence), std::move(needsLeaseCheck))
     {
     }
--- a/src/libplatform/announcer.cpp
+++ b/src/libplatform/announcer.cpp
@@ -48,7 +48,7 @@
         : client(ioContext, platformOptions)
         , delay(ioContext)
         , limit(ioContext)
-        , backoff(platformOptions.retryFirst, std::clamp<Millis>(wantedPresence.lease / 6, 1, platformOptions.retryMax))
+        , backoff(platformOptions.minRetryDelay, std::clamp<Millis>(wantedPresence.lease / 6, 1, platformOptions.maxRetryDelay))
         , wanted(std::move(wantedPresence))
         , handlers(std::move(announcerHandlers))
         , announceId(makeRandomId())
@@ -70,11 +70,11 @@
     void removePresence();
     void renewLater();
     void retry(PlatformError error);
-    void succeed();
+    void handleSuccess();
     void fence(const OwnerToken& newer);
     void finishWithdrawal();
 
-    bool isMine(const LeaseRecord& lease) const { return lease.announceId == announceId; }
+    bool isOwnLease(const LeaseRecord& lease) const { return lease.announceId == announceId; }
 
     PlatformClient client;
     Delay delay;
@@ -140,7 +140,7 @@
 {
     leaseVersion = version;
     highest = std::max(highest, lease.incarnation);
-    hasLease = isMine(lease) && lease.incarnation == wanted.token.incarnation;
+    hasLease = isOwnLease(lease) && lease.incarnation == wanted.token.incarnation;
     // A larger incarnation in the lease means that this process was paused for longer than its lease and another process
     // has announced the upstream since. Continuing would give the upstream two owners.
     if (wanted.token.incarnation != 0 && lease.incarnation > wanted.token.incarnation)
@@ -203,7 +203,7 @@
         presenceVersion = version;
         wanted.token = presence.token;
         written = presence;
-        succeed();
+        handleSuccess();
         if (isFirst && handlers.onAnnounced)
             handlers.onAnnounced(presence);
     });
@@ -226,7 +226,7 @@
         // Once per lease duration the presence object is read as well, to detect that it was deleted.
         if (++renewalsSinceCheck >= renewalsPerLease)
             presenceVersion.reset();
-        succeed();
+        handleSuccess();
     });
 }
 
@@ -257,7 +257,7 @@
     delay.start(backoff.next(), [this] { step(); });
 }
 
-void Announcer::Private::succeed()
+void Announcer::Private::handleSuccess()
 {
     lastReason = PlatformError::None;
     backoff.reset();
--- a/src/libplatform/config.cpp
+++ b/src/libplatform/config.cpp
@@ -21,7 +21,7 @@
     constexpr std::uint64_t portMask = 0xffff;
     constexpr std::uint64_t maxPort = 0xffff;
 
-    constexpr std::string_view nameLetters = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.";
+    constexpr std::string_view allowedNameCharacters = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.";
 
     json serviceToJson(const ServiceConfig& service)
     {
@@ -60,16 +60,16 @@
             config.dataCentres.push_back({
                 .name = dataCentre.at("name").get<std::string>(),
                 .out = dataCentre.value("out", false),
-                .outStated = dataCentre.contains("out"),
+                .isOutSpecified = dataCentre.contains("out"),
             });
         }
         return config;
     }
 
     /// The checks that the JSON Schema cannot express: relations between fields, and the syntax of addresses.
-    class CrossCheck {
+    class ConfigValidator {
     public:
-        CrossCheck(const Config& config, std::vector<Fault>& faults)
+        ConfigValidator(const Config& config, std::vector<Fault>& faults)
             : m_config(config)
             , m_faults(faults)
         {
@@ -78,9 +78,9 @@
         void run()
         {
             for (std::size_t index = 0; index < m_config.dataCentres.size(); ++index)
-                checkDataCentre(m_config.dataCentres[index], placeOf("/dataCentres", index));
+                checkDataCentre(m_config.dataCentres[index], childPointer("/dataCentres", index));
             for (std::size_t index = 0; index < m_config.services.size(); ++index)
-                checkService(m_config.services[index], placeOf("/services", index));
+                checkService(m_config.services[index], childPointer("/services", index));
             const bool allOut = std::all_of(m_config.dataCentres.begin(), m_config.dataCentres.end(),
                 [](const DataCentreConfig& dataCentre) { return dataCentre.out; });
             if (allOut)
@@ -90,21 +90,21 @@
     private:
         void checkDataCentre(const DataCentreConfig& dataCentre, const std::string& place)
         {
-            checkName(dataCentre.name, placeOf(place, "name"));
+            checkName(dataCentre.name, childPointer(place, "name"));
             if (!m_dataCentres.insert(dataCentre.name).second)
-                add(FaultKind::DuplicateName, placeOf(place, "name"), "Another data centre has the name " + dataCentre.name + ".");
+                add(FaultKind::DuplicateName, childPointer(place, "name"), "Another data centre has the name " + dataCentre.name + ".");
         }
 
         void checkService(const ServiceConfig& service, const std::string& place)
         {
-            checkName(service.name, placeOf(place, "name"));
+            checkName(service.name, childPointer(place, "name"));
             if (!m_services.insert(service.name).second)
-                add(FaultKind::DuplicateName, placeOf(place, "name"), "Another service has the name " + service.name + ".");
-            checkAddress(service, placeOf(place, "address"));
+                add(FaultKind::DuplicateName, childPointer(place, "name"), "Another service has the name " + service.name + ".");
+            checkAddress(service, childPointer(place, "address"));
             std::set<std::string_view> seen;
             for (std::size_t index = 0; index < service.dataCentres.size(); ++index) {
                 const std::string& name = service.dataCentres[index];
-                const std::string at = placeOf(placeOf(place, "dataCentres"), index);
+                const std::string at = childPointer(childPointer(place, "dataCentres"), index);
                 if (!m_dataCentres.contains(name))
                     add(FaultKind::UnknownDataCentre, at, "There is no data centre with the name " + name + ".");
                 if (!seen.insert(name).second)
@@ -114,7 +114,7 @@
 
         void checkName(std::string_view name, const std::string& place)
         {
-            if (name.find_first_not_of(nameLetters) != std::string_view::npos || name.starts_with('.'))
+            if (name.find_first_not_of(allowedNameCharacters) != std::string_view::npos || name.starts_with('.'))
                 add(FaultKind::OutOfRange, place, "A name may contain only letters, digits, '-', '_' and '.', and must not begin with '.'.");
         }
 
@@ -127,15 +127,15 @@
                 return;
             }
             const std::uint64_t port = service.address & portMask;
-            const std::uint64_t number = service.address >> portBits;
-            auto& numbers = m_numbersByPort[port];
-            const auto other = number == 0 ? numbers.begin() : numbers.find(number);
-            const auto wildcard = numbers.find(0);
-            if (other != numbers.end())
+            const std::uint64_t ipv4Address = service.address >> portBits;
+            auto& addressesOnPort = m_addressesByPort[port];
+            const auto other = ipv4Address == 0 ? addressesOnPort.begin() : addressesOnPort.find(ipv4Address);
+            const auto wildcard = addressesOnPort.find(0);
+            if (other != addressesOnPort.end())
                 add(FaultKind::OverlappingAddress, place, "The address is already used by service " + other->second + ".");
-            else if (wildcard != numbers.end())
+            else if (wildcard != addressesOnPort.end())
                 add(FaultKind::OverlappingAddress, place, "Service " + wildcard->second + " already uses this port on all addresses (0.0.0.0).");
-            numbers.emplace(number, service.name);
+            addressesOnPort.emplace(ipv4Address, service.name);
         }
 
         void add(FaultKind kind, std::string place, std::string detail)
@@ -148,7 +148,7 @@
         std::set<std::string_view> m_dataCentres;
         std::set<std::string_view> m_services;
         /// Maps port and IPv4 address to the name of the first service that has them.
-        std::map<std::uint64_t, std::map<std::uint64_t, std::string>> m_numbersByPort;
+        std::map<std::uint64_t, std::map<std::uint64_t, std::string>> m_addressesByPort;
     };
 
     template <typename Named>
@@ -185,7 +185,7 @@
     if (!document)
         return std::nullopt;
     Config config = configFromJson(*document);
-    CrossCheck(config, faults).run();
+    ConfigValidator(config, faults).run();
     if (faults.size() > faultsBefore)
         return std::nullopt;
     return config;
@@ -234,22 +234,22 @@
     const std::size_t colon = text.find(':');
     if (colon == std::string_view::npos)
         return std::nullopt;
-    in_addr number {};
-    if (inet_pton(AF_INET, std::string(text.substr(0, colon)).c_str(), &number) != 1)
+    in_addr ipv4Address {};
+    if (inet_pton(AF_INET, std::string(text.substr(0, colon)).c_str(), &ipv4Address) != 1)
         return std::nullopt;
     const std::string_view digits = text.substr(colon + 1);
     std::uint64_t port = 0;
     const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), port);
     if (error != std::errc() || end != digits.data() + digits.size() || port == 0 || port > maxPort)
         return std::nullopt;
-    return (std::uint64_t { ntohl(number.s_addr) } << portBits) | port;
+    return (std::uint64_t { ntohl(ipv4Address.s_addr) } << portBits) | port;
 }
 
 std::string toString(ServiceAddress address)
 {
-    in_addr number { .s_addr = htonl(static_cast<std::uint32_t>(address >> portBits)) };
+    in_addr ipv4Address { .s_addr = htonl(static_cast<std::uint32_t>(address >> portBits)) };
     std::array<char, INET_ADDRSTRLEN> text {};
-    inet_ntop(AF_INET, &number, text.data(), text.size());
+    inet_ntop(AF_INET, &ipv4Address, text.data(), text.size());
     return std::string(text.data()) + ":" + std::to_string(address & portMask);
 }
 
--- a/src/libplatform/config.h
+++ b/src/libplatform/config.h
@@ -71,7 +71,7 @@
     bool out = false;
     /// Whether the file contains `out`. Applying a file without it keeps the data centre's current state, so that a file
     /// written before an operator took the data centre out of service does not bring it back.
-    bool outStated = true;
+    bool isOutSpecified = true;
 
     bool operator==(const DataCentreConfig& other) const { return name == other.name && out == other.out; }
 };
--- a/src/libplatform/configapply.cpp
+++ b/src/libplatform/configapply.cpp
@@ -35,7 +35,7 @@
         , objects(client)
         , delay(context)
         , limit(context)
-        , backoff(options.retryFirst, options.retryMax)
+        , backoff(options.minRetryDelay, options.maxRetryDelay)
         , applyOptions(std::move(changeOptions))
     {
         if (applyOptions.applyId.empty())
@@ -46,14 +46,14 @@
     void readManifest();
     void handleManifest(const PlatformObject& object);
     /// The manifest to write next; nothing when the change has finished without a write.
-    std::optional<Manifest> makeNext(const Manifest& present);
-    std::optional<Manifest> makeNextOfConfig(const Manifest& present);
-    std::optional<Manifest> makeNextOfState(const Manifest& present);
+    std::optional<Manifest> makeNextManifest(const Manifest& current);
+    std::optional<Manifest> makeManifestForConfig(const Manifest& current);
+    std::optional<Manifest> makeManifestForState(const Manifest& current);
     void writeServices();
-    void noteRemovable();
+    void recordRemovableVersions();
     void writeManifest();
     void handleAccepted(ConfigVersion version);
-    void handleTrouble(PlatformError error);
+    void handlePlatformError(PlatformError error);
     void handleLimit();
     void finish(ApplyError error, ConfigVersion version, bool changed = false);
 
@@ -71,14 +71,14 @@
     bool out = false;
 
     /// Version of the manifest object that this change is based on: the first one read.
-    std::optional<ObjectVersion> basisObject;
+    std::optional<ObjectVersion> baseManifestVersion;
     Manifest next;
-    ObjectVersion presentObject = 0;
+    ObjectVersion currentManifestVersion = 0;
     std::map<std::string, std::string> servicesToWrite;
     /// Set once the manifest is written and only the removal of old service objects remains.
     std::optional<ConfigVersion> accepted;
     /// Whether a write of the manifest got no response and may have taken effect.
-    bool isOutcomeOpen = false;
+    bool isOutcomeUnknown = false;
     PlatformError platformError = PlatformError::None;
 };
 
@@ -97,7 +97,7 @@
         else if (error == PlatformError::NotFound)
             handleManifest({ .name = manifestName, .version = 0, .value = toJson(Manifest {}) });
         else
-            handleTrouble(error);
+            handlePlatformError(error);
     });
 }
 
@@ -105,118 +105,118 @@
 // first. This change's id among the manifest's recent applies shows that it was accepted, even if others were accepted since.
 void ConfigApply::Private::handleManifest(const PlatformObject& object)
 {
-    const auto present = object.value ? parseManifest(*object.value) : std::nullopt;
-    if (!present) {
+    const auto current = object.value ? parseManifest(*object.value) : std::nullopt;
+    if (!current) {
         finish(ApplyError::BadManifest, 0);
         return;
     }
-    if (const auto version = present->versionOf(applyOptions.applyId)) {
+    if (const auto version = current->versionOf(applyOptions.applyId)) {
         handleAccepted(*version);
         return;
     }
-    if (!basisObject)
-        basisObject = object.version;
-    presentObject = object.version;
-    auto made = makeNext(*present);
-    if (!made)
+    if (!baseManifestVersion)
+        baseManifestVersion = object.version;
+    currentManifestVersion = object.version;
+    auto candidate = makeNextManifest(*current);
+    if (!candidate)
         return;
-    next = std::move(*made);
+    next = std::move(*candidate);
     writeServices();
 }
 
-std::optional<Manifest> ConfigApply::Private::makeNext(const Manifest& present)
+std::optional<Manifest> ConfigApply::Private::makeNextManifest(const Manifest& current)
 {
-    auto made = wanted ? makeNextOfConfig(present) : makeNextOfState(present);
-    if (!made)
+    auto candidate = wanted ? makeManifestForConfig(current) : makeManifestForState(current);
+    if (!candidate)
         return std::nullopt;
-    if (made->services == present.services && made->dataCentres == present.dataCentres && present.version > 0) {
-        finish(ApplyError::None, present.version);
+    if (candidate->services == current.services && candidate->dataCentres == current.dataCentres && current.version > 0) {
+        finish(ApplyError::None, current.version);
         return std::nullopt;
     }
-    if (isAllOut(made->dataCentres)) {
-        finish(ApplyError::AllOut, present.version);
+    if (areAllDataCentresOut(candidate->dataCentres)) {
+        finish(ApplyError::AllOut, current.version);
         return std::nullopt;
     }
-    return made;
+    return candidate;
 }
 
-std::optional<Manifest> ConfigApply::Private::makeNextOfConfig(const Manifest& present)
+std::optional<Manifest> ConfigApply::Private::makeManifestForConfig(const Manifest& current)
 {
-    if (presentObject != basisObject) {
-        finish(ApplyError::Conflict, present.version);
+    if (currentManifestVersion != baseManifestVersion) {
+        finish(ApplyError::Conflict, current.version);
         return std::nullopt;
     }
-    const Config config = normalised(withKeptStates(*wanted, present.dataCentres));
-    const std::set<ManifestService, decltype([](const ManifestService& a, const ManifestService& b) { return a.object < b.object; })> known(present.services.begin(), present.services.end());
-    Manifest made = nextManifest(present, config, applyOptions.applyId);
+    const Config config = normalised(withInheritedStates(*wanted, current.dataCentres));
+    const std::set<ManifestService, decltype([](const ManifestService& a, const ManifestService& b) { return a.object < b.object; })> known(current.services.begin(), current.services.end());
+    Manifest candidate = nextManifest(current, config, applyOptions.applyId);
     servicesToWrite.clear();
-    for (std::size_t index = 0; index < made.services.size(); ++index) {
-        if (!known.contains(made.services[index]))
-            servicesToWrite.emplace(made.services[index].object, toJson(config.services[index]));
+    for (std::size_t index = 0; index < candidate.services.size(); ++index) {
+        if (!known.contains(candidate.services[index]))
+            servicesToWrite.emplace(candidate.services[index].object, toJson(config.services[index]));
     }
-    return made;
+    return candidate;
 }
 
 // Sets the state in the manifest as last read, so that a concurrent change by another operator is kept. If that change set
-// the same state, makeNext() finds nothing to write.
-std::optional<Manifest> ConfigApply::Private::makeNextOfState(const Manifest& present)
+// the same state, makeNextManifest() finds nothing to write.
+std::optional<Manifest> ConfigApply::Private::makeManifestForState(const Manifest& current)
 {
-    if (present.version == 0) {
+    if (current.version == 0) {
         finish(ApplyError::NoConfig, 0);
         return std::nullopt;
     }
-    if (!present.findDataCentre(dataCentre)) {
-        finish(ApplyError::UnknownDataCentre, present.version);
+    if (!current.findDataCentre(dataCentre)) {
+        finish(ApplyError::UnknownDataCentre, current.version);
         return std::nullopt;
     }
-    return nextManifest(present, present.services, withState(present.dataCentres, dataCentre, out), applyOptions.applyId);
+    return nextManifest(current, current.services, withState(current.dataCentres, dataCentre, out), applyOptions.applyId);
 }
 
 void ConfigApply::Private::writeServices()
 {
     objects.write(std::move(servicesToWrite), [this](PlatformError error) {
         if (error == PlatformError::None)
-            noteRemovable();
+            recordRemovableVersions();
         else
-            handleTrouble(error);
+            handlePlatformError(error);
     });
 }
 
 /// A change of one data centre's state is urgent and therefore removes no old objects.
-void ConfigApply::Private::noteRemovable()
+void ConfigApply::Private::recordRemovableVersions()
 {
-    auto removable = wanted ? takeRemovable(next) : std::vector<std::string> {};
-    objects.noteVersions(std::move(removable), [this](PlatformError error) {
+    auto removable = wanted ? extractRemovableObjects(next) : std::vector<std::string> {};
+    objects.recordVersions(std::move(removable), [this](PlatformError error) {
         if (error == PlatformError::None)
             writeManifest();
         else
-            handleTrouble(error);
+            handlePlatformError(error);
     });
 }
 
 void ConfigApply::Private::writeManifest()
 {
-    client.put(manifestKind, manifestName, toJson(next), presentObject, [this](const std::optional<ObjectVersion>& version, PlatformError error) {
+    client.put(manifestKind, manifestName, toJson(next), currentManifestVersion, [this](const std::optional<ObjectVersion>& version, PlatformError error) {
         if (version) {
             handleAccepted(next.version);
             return;
         }
         if (error == PlatformError::NoAnswer)
-            isOutcomeOpen = true;
+            isOutcomeUnknown = true;
         if (error == PlatformError::Conflict)
             readManifest();
         else
-            handleTrouble(error);
+            handlePlatformError(error);
     });
 }
 
 void ConfigApply::Private::handleAccepted(ConfigVersion version)
 {
     accepted = version;
-    objects.removeNoted([this](PlatformError) { finish(ApplyError::None, *accepted, true); });
+    objects.removeRecorded([this](PlatformError) { finish(ApplyError::None, *accepted, true); });
 }
 
-void ConfigApply::Private::handleTrouble(PlatformError error)
+void ConfigApply::Private::handlePlatformError(PlatformError error)
 {
     platformError = error;
     if (error == PlatformError::Refused) {
@@ -231,7 +231,7 @@
     if (accepted)
         finish(ApplyError::None, *accepted, true);
     else
-        finish(isOutcomeOpen ? ApplyError::OutcomeUnknown : ApplyError::PlatformUnreachable, 0);
+        finish(isOutcomeUnknown ? ApplyError::OutcomeUnknown : ApplyError::PlatformUnreachable, 0);
 }
 
 void ConfigApply::Private::finish(ApplyError error, ConfigVersion version, bool changed)
@@ -258,7 +258,7 @@
     m_d->start(std::move(handler));
 }
 
-void ConfigApply::setOut(std::string dataCentre, bool out, Handler handler)
+void ConfigApply::setDataCentreOut(std::string dataCentre, bool out, Handler handler)
 {
     m_d->dataCentre = std::move(dataCentre);
     m_d->out = out;
--- a/src/libplatform/configapply.h
+++ b/src/libplatform/configapply.h
@@ -79,7 +79,7 @@
 
     /// Takes one data centre out of service or brings it back. Applies to the configuration accepted at the time of the write,
     /// so that concurrent changes are kept.
-    void setOut(std::string dataCentre, bool out, Handler handler);
+    void setDataCentreOut(std::string dataCentre, bool out, Handler handler);
 
 private:
     struct Private;
--- a/src/libplatform/configdiff.cpp
+++ b/src/libplatform/configdiff.cpp
@@ -89,18 +89,18 @@
     return changes;
 }
 
-Config withKeptStates(Config wanted, const std::vector<DataCentreConfig>& present)
+Config withInheritedStates(Config wanted, const std::vector<DataCentreConfig>& current)
 {
-    const auto states = byName(present);
+    const auto states = byName(current);
     for (DataCentreConfig& dataCentre : wanted.dataCentres) {
         const auto found = states.find(dataCentre.name);
-        if (!dataCentre.outStated && found != states.end())
+        if (!dataCentre.isOutSpecified && found != states.end())
             dataCentre.out = found->second->out;
     }
     return wanted;
 }
 
-bool isAllOut(const std::vector<DataCentreConfig>& dataCentres)
+bool areAllDataCentresOut(const std::vector<DataCentreConfig>& dataCentres)
 {
     return !dataCentres.empty() && std::all_of(dataCentres.begin(), dataCentres.end(), [](const DataCentreConfig& dataCentre) { return dataCentre.out; });
 }
--- a/src/libplatform/configdiff.h
+++ b/src/libplatform/configdiff.h
@@ -40,10 +40,10 @@
 /// The differences, sorted by name. The order of entries in the two configurations is not compared.
 std::vector<ConfigChange> diffConfigs(const Config& from, const Config& to);
 
-/// `wanted`, where each data centre without an explicit `out` gets its state from `present`.
-Config withKeptStates(Config wanted, const std::vector<DataCentreConfig>& present);
+/// `wanted`, where each data centre without an explicit `out` gets its state from `current`.
+Config withInheritedStates(Config wanted, const std::vector<DataCentreConfig>& current);
 
 /// Whether there are data centres and all of them are taken out of service.
-bool isAllOut(const std::vector<DataCentreConfig>& dataCentres);
+bool areAllDataCentresOut(const std::vector<DataCentreConfig>& dataCentres);
 
 }
--- a/src/libplatform/configreader.cpp
+++ b/src/libplatform/configreader.cpp
@@ -39,8 +39,8 @@
             fail(error);
             return;
         }
-        hold(*object);
-        if (m_held.contains(name))
+        cacheService(*object);
+        if (m_cachedServices.contains(name))
             fetchNext();
         else
             fail(PlatformError::BadAnswer);
@@ -55,24 +55,24 @@
             return;
         }
         for (const PlatformObject& object : list->objects)
-            hold(object);
+            cacheService(object);
         fetchNext();
     });
 }
 
-void ConfigReader::hold(const PlatformObject& object)
+void ConfigReader::cacheService(const PlatformObject& object)
 {
     if (!object.value)
         return;
     if (auto service = parseServiceObject(object.name, *object.value))
-        m_held.insert_or_assign(object.name, std::move(*service));
+        m_cachedServices.insert_or_assign(object.name, std::move(*service));
 }
 
 std::vector<std::string> ConfigReader::missingObjects() const
 {
     std::vector<std::string> missing;
     for (const ManifestService& service : m_manifest.services) {
-        if (!m_held.contains(service.object))
+        if (!m_cachedServices.contains(service.object))
             missing.push_back(service.object);
     }
     return missing;
@@ -83,11 +83,11 @@
     Config config { .version = m_manifest.version, .services = {}, .dataCentres = m_manifest.dataCentres };
     std::map<std::string, ServiceConfig> used;
     for (const ManifestService& service : m_manifest.services) {
-        const ServiceConfig& held = m_held.at(service.object);
-        config.services.push_back(held);
-        used.emplace(service.object, held);
+        const ServiceConfig& cached = m_cachedServices.at(service.object);
+        config.services.push_back(cached);
+        used.emplace(service.object, cached);
     }
-    m_held = std::move(used);
+    m_cachedServices = std::move(used);
     const Handler handler = std::move(m_handler);
     handler(std::move(config), PlatformError::None);
 }
--- a/src/libplatform/configreader.h
+++ b/src/libplatform/configreader.h
@@ -23,7 +23,7 @@
 private:
     void fetchNext();
     void fetchAll();
-    void hold(const PlatformObject& object);
+    void cacheService(const PlatformObject& object);
     std::vector<std::string> missingObjects() const;
     void finish();
     void fail(PlatformError error);
@@ -31,7 +31,7 @@
     PlatformClient& m_client;
     Manifest m_manifest;
     Handler m_handler;
-    std::map<std::string, ServiceConfig> m_held;
+    std::map<std::string, ServiceConfig> m_cachedServices;
 };
 
 }
--- a/src/libplatform/configwatcher.cpp
+++ b/src/libplatform/configwatcher.cpp
@@ -10,8 +10,8 @@
         : client(context, options)
         , reader(client)
         , delay(context)
-        , backoff(options.retryFirst, options.retryMax)
-        , watchPause(options.retryFirst)
+        , backoff(options.minRetryDelay, options.maxRetryDelay)
+        , watchPause(options.minRetryDelay)
         , onConfig(std::move(handler))
         , once(stopAfterFirst)
     {
@@ -31,7 +31,7 @@
     Millis watchPause = 0;
     OnConfig onConfig;
     bool once = false;
-    ObjectVersion seen = 0;
+    ObjectVersion watchedVersion = 0;
     ConfigVersion reported = 0;
     PlatformError lastReason = PlatformError::None;
 };
@@ -56,7 +56,7 @@
 
 void ConfigWatcher::Private::watch()
 {
-    client.watch(manifestKind, seen, [this](const std::optional<ObjectList>& list, PlatformError error) {
+    client.watch(manifestKind, watchedVersion, [this](const std::optional<ObjectList>& list, PlatformError error) {
         if (list)
             handleManifests(*list);
         else
@@ -68,7 +68,7 @@
 // version is not above the reported one is ignored, so that no daemon reverts to it.
 void ConfigWatcher::Private::handleManifests(const ObjectList& list)
 {
-    seen = list.version;
+    watchedVersion = list.version;
     std::optional<Manifest> newest;
     for (const PlatformObject& object : list.objects) {
         if (object.name == manifestName && object.value)
--- a/src/libplatform/deploymentadapter.h
+++ b/src/libplatform/deploymentadapter.h
@@ -28,13 +28,13 @@
 };
 
 /// Size of a packet header, and so of a packet without data.
-constexpr std::size_t bareHeadBytes = 36;
+constexpr std::size_t packetHeaderBytes = 36;
 
 /// An HTTP request from an upstream to its agent.
-struct UpstreamCall {
+struct UpstreamRequest {
     enum class Kind : std::uint8_t {
         Report,
-        Farewell,
+        ShutdownNotice,
         /// A request that the deployment does not define.
         Unknown,
     };
@@ -54,16 +54,16 @@
     /// Restores the packet to the form in which its sender wrote it.
     void (*clearMarks)(std::span<std::uint8_t> packet) = nullptr;
     /// Encodes a reset packet from the service's address to the caller.
-    std::array<std::uint8_t, bareHeadBytes> (*encodeReset)(const FlowKey& flow, std::uint32_t sequence) = nullptr;
+    std::array<std::uint8_t, packetHeaderBytes> (*encodeReset)(const FlowKey& flow, std::uint32_t sequence) = nullptr;
 
-    UpstreamCall (*readUpstreamCall)(const HttpRequest& request) = nullptr;
+    UpstreamRequest (*decodeUpstreamRequest)(const HttpRequest& request) = nullptr;
 
     const StoreDialect* store = nullptr;
     std::string_view routesKind;
     std::string_view outagesKind;
     /// Decodes the configuration from an object of `routesKind`. Nothing when the object does not hold it, with an error if it
     /// should but cannot be decoded.
-    std::optional<RouteTable> (*readRoutes)(const PlatformObject& object, DecodeError& error) = nullptr;
+    std::optional<RouteTable> (*decodeRoutes)(const PlatformObject& object, DecodeError& error) = nullptr;
 };
 
 }
--- a/src/libplatform/kindwatcher.cpp
+++ b/src/libplatform/kindwatcher.cpp
@@ -7,7 +7,7 @@
     , m_handlers(std::move(handlers))
     , m_client(context, options)
     , m_delay(context)
-    , m_backoff(options.retryFirst, options.retryMax)
+    , m_backoff(options.minRetryDelay, options.maxRetryDelay)
     , m_pollInterval(pollInterval)
 {
     m_delay.start(0, [this] { list(); });
@@ -22,8 +22,8 @@
 
 void KindWatcher::list()
 {
-    const bool mayBeOld = m_pollInterval > 0 && m_since;
-    const auto take = [this](const std::optional<ObjectList>& listed, PlatformError reason) {
+    const bool mayBeStale = m_pollInterval > 0 && m_since;
+    const auto handleList = [this](const std::optional<ObjectList>& listed, PlatformError reason) {
         if (!listed) {
             retry(reason);
             return;
@@ -37,7 +37,7 @@
         else
             watch();
     };
-    m_client.list(m_kind, take, mayBeOld ? ListFreshness::MayBeOld : ListFreshness::Current);
+    m_client.list(m_kind, handleList, mayBeStale ? ReadFreshness::MayBeStale : ReadFreshness::Current);
 }
 
 void KindWatcher::watch()
@@ -61,8 +61,8 @@
 void KindWatcher::retry(PlatformError reason)
 {
     m_lastReason = reason;
-    if (m_handlers.onTrouble)
-        m_handlers.onTrouble(reason);
+    if (m_handlers.onError)
+        m_handlers.onError(reason);
     m_delay.start(m_backoff.next(), [this] {
         if (m_since && m_pollInterval == 0)
             watch();
--- a/src/libplatform/kindwatcher.h
+++ b/src/libplatform/kindwatcher.h
@@ -18,7 +18,7 @@
         /// Called with the changes up to the list's version, in order; an object without a value was removed.
         std::function<void(const ObjectList&)> onChanges;
         /// Called for every failed call.
-        std::function<void(PlatformError)> onTrouble;
+        std::function<void(PlatformError)> onError;
     };
 
     /// `pollInterval` in milliseconds; 0 means to watch instead of polling.
--- a/src/libplatform/manifest.cpp
+++ b/src/libplatform/manifest.cpp
@@ -30,7 +30,7 @@
         return manifest;
     }
 
-    std::set<std::string_view> objectsOf(const Manifest& manifest)
+    std::set<std::string_view> referencedObjects(const Manifest& manifest)
     {
         std::set<std::string_view> objects;
         for (const ManifestService& service : manifest.services)
@@ -39,20 +39,20 @@
     }
 
     /// The objects already retired that `next` does not reference again, and those that `previous` references and `next` does not.
-    std::vector<ManifestRetired> retiredAfter(const Manifest& previous, const Manifest& next)
+    std::vector<RetiredObject> computeRetiredObjects(const Manifest& previous, const Manifest& next)
     {
-        const auto named = objectsOf(next);
-        std::vector<ManifestRetired> retired;
-        for (const ManifestRetired& before : previous.retired) {
-            if (!named.contains(before.object))
+        const auto referenced = referencedObjects(next);
+        std::vector<RetiredObject> retired;
+        for (const RetiredObject& before : previous.retired) {
+            if (!referenced.contains(before.object))
                 retired.push_back(before);
         }
         for (const ManifestService& service : previous.services) {
-            if (!named.contains(service.object))
+            if (!referenced.contains(service.object))
                 retired.push_back({ .object = service.object, .since = next.version });
         }
-        if (retired.size() > rememberedRetired)
-            retired.erase(retired.begin(), retired.end() - rememberedRetired);
+        if (retired.size() > maxRetiredObjects)
+            retired.erase(retired.begin(), retired.end() - maxRetiredObjects);
         return retired;
     }
 
@@ -98,7 +98,7 @@
     for (const ManifestApply& apply : manifest.recent)
         recent.push_back({ { "applyId", apply.applyId }, { "version", apply.version } });
     json retired = json::array();
-    for (const ManifestRetired& one : manifest.retired)
+    for (const RetiredObject& one : manifest.retired)
         retired.push_back({ { "object", one.object }, { "since", one.since } });
     return json {
         { "version", manifest.version },
@@ -129,16 +129,16 @@
     next.dataCentres = std::move(dataCentres);
     next.recent = previous.recent;
     next.recent.push_back({ .applyId = applyId, .version = next.version });
-    if (next.recent.size() > rememberedApplies)
+    if (next.recent.size() > maxRecentApplies)
         next.recent.erase(next.recent.begin());
-    next.retired = retiredAfter(previous, next);
+    next.retired = computeRetiredObjects(previous, next);
     return next;
 }
 
-std::vector<std::string> takeRemovable(Manifest& next)
+std::vector<std::string> extractRemovableObjects(Manifest& next)
 {
     std::vector<std::string> removable;
-    while (removable.size() < removedAtOnce && removable.size() < next.retired.size() && next.retired[removable.size()].since + keptManifests <= next.version)
+    while (removable.size() < maxRemovalsPerApply && removable.size() < next.retired.size() && next.retired[removable.size()].since + objectRetentionVersions <= next.version)
         removable.push_back(next.retired[removable.size()].object);
     next.retired.erase(next.retired.begin(), next.retired.begin() + static_cast<std::ptrdiff_t>(removable.size()));
     return removable;
--- a/src/libplatform/manifest.h
+++ b/src/libplatform/manifest.h
@@ -15,20 +15,20 @@
 
 /// How many accepted changes a manifest lists. An operator's program whose response was lost finds its own change among them,
 /// even if others were accepted since. At four thousand changes a day, 32 cover more time than any retry takes.
-constexpr std::size_t rememberedApplies = 32;
+constexpr std::size_t maxRecentApplies = 32;
 
 /// How many versions after an object was last referenced it is removed. A daemon that is still reading an older manifest finds
 /// the object missing and reads the manifest again; the delay only makes that rare.
-constexpr ConfigVersion keptManifests = 8;
+constexpr ConfigVersion objectRetentionVersions = 8;
 
 /// Maximum number of old objects that one apply removes. After a change of all two thousand services, removing all old objects
 /// at once would delay the operator and use up the platform's write capacity. The limit is well above the few objects that an
 /// ordinary apply retires, so that later applies remove the rest.
-constexpr std::size_t removedAtOnce = 32;
+constexpr std::size_t maxRemovalsPerApply = 32;
 
 /// Maximum number of retired objects that a manifest lists, which keeps it far below the platform's size limit of a megabyte.
 /// When there are more, the oldest are dropped from the list and remain in the platform.
-constexpr std::size_t rememberedRetired = 4000;
+constexpr std::size_t maxRetiredObjects = 4000;
 
 struct ManifestService {
     std::string name;
@@ -44,7 +44,7 @@
 };
 
 /// An object that no manifest has referenced since version `since`.
-struct ManifestRetired {
+struct RetiredObject {
     std::string object;
     ConfigVersion since = 0;
 };
@@ -58,7 +58,7 @@
     /// The last accepted changes, newest last.
     std::vector<ManifestApply> recent;
     /// Objects that are no longer referenced and will be removed by a later apply, oldest first.
-    std::vector<ManifestRetired> retired;
+    std::vector<RetiredObject> retired;
 
     const DataCentreConfig* findDataCentre(std::string_view name) const;
     /// The version that the change with this id created, if it is still listed.
@@ -75,7 +75,7 @@
 
 /// Removes from a manifest that is about to be written the retired objects that are old enough to be deleted, limited to one
 /// batch, and returns their names.
-std::vector<std::string> takeRemovable(Manifest& next);
+std::vector<std::string> extractRemovableObjects(Manifest& next);
 
 /// Name of the object that holds a service: the service's name and a hash of its JSON text.
 std::string serviceObjectName(const ServiceConfig& service);
--- a/src/libplatform/peerentryjson.cpp
+++ b/src/libplatform/peerentryjson.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-    json toDocument(const PeerEntry& entry)
+    json entryToJson(const PeerEntry& entry)
     {
         return {
             { "name", entry.name },
@@ -22,7 +22,7 @@
         };
     }
 
-    PeerEntry entryOf(const json& document)
+    PeerEntry entryFromJson(const json& document)
     {
         const auto role = fromName<PeerRole>(document.at("role").get<std::string>());
         const auto state = fromName<PeerState>(document.at("state").get<std::string>());
@@ -44,7 +44,7 @@
 
 std::string toJson(const PeerEntry& entry)
 {
-    return toDocument(entry).dump();
+    return entryToJson(entry).dump();
 }
 
 std::optional<PeerEntry> parsePeerEntry(std::string_view text)
@@ -53,7 +53,7 @@
     if (document.is_discarded())
         return std::nullopt;
     try {
-        return entryOf(document);
+        return entryFromJson(document);
     } catch (const json::exception&) {
         return std::nullopt;
     }
--- a/src/libplatform/platformclient.cpp
+++ b/src/libplatform/platformclient.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-    PlatformError errorOfOutcome(const HttpOutcome& outcome)
+    PlatformError errorFromOutcome(const HttpOutcome& outcome)
     {
         return outcome.mayHaveReached ? PlatformError::NoAnswer : PlatformError::Unreachable;
     }
@@ -23,7 +23,7 @@
     void call(HttpRequest request, Millis timeout, std::optional<Result> (*read)(const std::string&), Handler<Result> handler);
 
     const StoreDialect& dialect() const { return options.dialect ? *options.dialect : plainDialect(); }
-    void listPart(std::string kind, ListFreshness freshness, ObjectList listed, Handler<ObjectList> handler);
+    void listNextPage(std::string kind, ReadFreshness freshness, ObjectList listed, Handler<ObjectList> handler);
 
     asio::io_context& context;
     PlatformOptions options;
@@ -39,28 +39,28 @@
     if (!options.client.empty())
         request.headers.push_back({ .name = "X-Client", .value = options.client });
     const HttpCallOptions callOptions { .connectTimeout = options.connectTimeout, .timeout = timeout, .pathSilenceLimit = options.pathSilenceLimit };
-    const auto holder = std::make_shared<std::weak_ptr<HttpCall>>();
+    const auto weakCall = std::make_shared<std::weak_ptr<HttpCall>>();
     HttpCall::Handlers handlers;
     const bool isWrite = request.method != "GET";
-    handlers.onDone = [known = calls, holder, read, isWrite, errorOfStatus = dialect().errorOfStatus, handler = std::move(handler)](const std::optional<HttpResponse>& response, const HttpOutcome& outcome) {
-        known->erase(holder->lock());
+    handlers.onDone = [pending = calls, weakCall, read, isWrite, errorFromStatus = dialect().errorFromStatus, handler = std::move(handler)](const std::optional<HttpResponse>& response, const HttpOutcome& outcome) {
+        pending->erase(weakCall->lock());
         if (!response) {
-            handler(std::nullopt, errorOfOutcome(outcome));
+            handler(std::nullopt, errorFromOutcome(outcome));
             return;
         }
-        const PlatformError error = errorOfStatus(response->status);
+        const PlatformError error = errorFromStatus(response->status);
         if (error != PlatformError::None) {
             handler(std::nullopt, error);
             return;
         }
         auto result = read(response->body);
         // A response that cannot be decoded does not show whether a write took effect.
-        const PlatformError garbled = isWrite ? PlatformError::NoAnswer : PlatformError::BadAnswer;
-        const PlatformError reason = result ? PlatformError::None : garbled;
+        const PlatformError decodeFailure = isWrite ? PlatformError::NoAnswer : PlatformError::BadAnswer;
+        const PlatformError reason = result ? PlatformError::None : decodeFailure;
         handler(std::move(result), reason);
     };
     const auto started = startHttpCall(context, options.server, std::move(request), callOptions, std::move(handlers));
-    *holder = started;
+    *weakCall = started;
     calls->insert(started);
 }
 
@@ -76,11 +76,11 @@
 
 // A store returns a long list in pages. The list gets the version of its first page, so that a watch from there repeats the
 // changes made while the other pages were read.
-void PlatformClient::Private::listPart(std::string kind, ListFreshness freshness, ObjectList listed, Handler<ObjectList> handler)
+void PlatformClient::Private::listNextPage(std::string kind, ReadFreshness freshness, ObjectList listed, Handler<ObjectList> handler)
 {
     const std::string after = listed.objects.empty() ? std::string() : listed.objects.back().name;
     HttpRequest request = dialect().list(kind, after, freshness);
-    call<ObjectPage>(std::move(request), options.callTimeout, dialect().readPage,
+    call<ObjectPage>(std::move(request), options.callTimeout, dialect().decodePage,
         [this, freshness, kind = std::move(kind), listed = std::move(listed), handler = std::move(handler)](std::optional<ObjectPage> page, PlatformError error) mutable {
             if (!page) {
                 handler(std::nullopt, error);
@@ -91,40 +91,40 @@
             const bool hasMore = page->hasMore && !page->list.objects.empty();
             std::move(page->list.objects.begin(), page->list.objects.end(), std::back_inserter(listed.objects));
             if (hasMore)
-                listPart(std::move(kind), freshness, std::move(listed), std::move(handler));
+                listNextPage(std::move(kind), freshness, std::move(listed), std::move(handler));
             else
                 handler(std::move(listed), PlatformError::None);
         });
 }
 
-void PlatformClient::get(const std::string& kind, const std::string& name, Handler<PlatformObject> handler, ListFreshness freshness)
+void PlatformClient::get(const std::string& kind, const std::string& name, Handler<PlatformObject> handler, ReadFreshness freshness)
 {
     const StoreDialect& dialect = m_d->dialect();
-    m_d->call<PlatformObject>(dialect.get(kind, name, freshness), m_d->options.callTimeout, dialect.readObject, std::move(handler));
+    m_d->call<PlatformObject>(dialect.get(kind, name, freshness), m_d->options.callTimeout, dialect.decodeObject, std::move(handler));
 }
 
-void PlatformClient::list(const std::string& kind, Handler<ObjectList> handler, ListFreshness freshness)
+void PlatformClient::list(const std::string& kind, Handler<ObjectList> handler, ReadFreshness freshness)
 {
-    m_d->listPart(kind, freshness, {}, std::move(handler));
+    m_d->listNextPage(kind, freshness, {}, std::move(handler));
 }
 
 void PlatformClient::put(const std::string& kind, const std::string& name, const std::string& value, ObjectVersion ifVersion, Handler<ObjectVersion> handler)
 {
     const StoreDialect& dialect = m_d->dialect();
-    m_d->call<ObjectVersion>(dialect.put(kind, name, value, ifVersion), m_d->options.callTimeout, dialect.readVersion, std::move(handler));
+    m_d->call<ObjectVersion>(dialect.put(kind, name, value, ifVersion), m_d->options.callTimeout, dialect.decodeVersion, std::move(handler));
 }
 
 void PlatformClient::remove(const std::string& kind, const std::string& name, ObjectVersion ifVersion, Handler<ObjectVersion> handler)
 {
     const StoreDialect& dialect = m_d->dialect();
-    m_d->call<ObjectVersion>(dialect.remove(kind, name, ifVersion), m_d->options.callTimeout, dialect.readVersion, std::move(handler));
+    m_d->call<ObjectVersion>(dialect.remove(kind, name, ifVersion), m_d->options.callTimeout, dialect.decodeVersion, std::move(handler));
 }
 
 void PlatformClient::watch(const std::string& kind, ObjectVersion since, Handler<ObjectList> handler)
 {
     const Millis wait = m_d->options.watchWait;
     const StoreDialect& dialect = m_d->dialect();
-    m_d->call<ObjectList>(dialect.watch(kind, since, wait), wait + m_d->options.callTimeout, dialect.readChanges, std::move(handler));
+    m_d->call<ObjectList>(dialect.watch(kind, since, wait), wait + m_d->options.callTimeout, dialect.decodeChanges, std::move(handler));
 }
 
 void PlatformClient::cancelAll()
--- a/src/libplatform/platformclient.h
+++ b/src/libplatform/platformclient.h
@@ -75,14 +75,14 @@
     std::string client;
     /// Minimum and maximum delay before a watcher or announcer retries, in milliseconds. The minimum is also the pause of a
     /// watcher between two watches.
-    Millis retryFirst = 100;
-    Millis retryMax = 3000;
+    Millis minRetryDelay = 100;
+    Millis maxRetryDelay = 3000;
 };
 
 /// Whether a response must reflect every acknowledged write, or may be some seconds old, which is cheaper for the store.
-enum class ListFreshness : std::uint8_t {
+enum class ReadFreshness : std::uint8_t {
     Current,
-    MayBeOld,
+    MayBeStale,
 };
 
 /// Client of the platform's object API. It does not retry: whether to retry is decided by the code that makes a call. Not
@@ -97,8 +97,8 @@
     PlatformClient(const PlatformClient&) = delete;
     PlatformClient& operator=(const PlatformClient&) = delete;
 
-    void get(const std::string& kind, const std::string& name, Handler<PlatformObject> handler, ListFreshness freshness = ListFreshness::Current);
-    void list(const std::string& kind, Handler<ObjectList> handler, ListFreshness freshness = ListFreshness::Current);
+    void get(const std::string& kind, const std::string& name, Handler<PlatformObject> handler, ReadFreshness freshness = ReadFreshness::Current);
+    void list(const std::string& kind, Handler<ObjectList> handler, ReadFreshness freshness = ReadFreshness::Current);
     /// Writes the object if its version is `ifVersion`, where 0 means that it does not exist; yields the new version.
     void put(const std::string& kind, const std::string& name, const std::string& value, ObjectVersion ifVersion, Handler<ObjectVersion> handler);
     void remove(const std::string& kind, const std::string& name, ObjectVersion ifVersion, Handler<ObjectVersion> handler);
--- a/src/libplatform/presencewatcher.cpp
+++ b/src/libplatform/presencewatcher.cpp
@@ -14,8 +14,8 @@
 
     /// Bounds of the interval between two lease checks, in milliseconds: short leases, as in tests, must not cause a busy loop,
     /// and long ones must not delay the check of a new upstream with a short lease.
-    constexpr Millis minLeaseCheck = 20;
-    constexpr Millis maxLeaseCheck = 7500;
+    constexpr Millis minLeaseCheckInterval = 20;
+    constexpr Millis maxLeaseCheckInterval = 7500;
 
     /// Maximum number of leases that are read individually; for more, all are listed in one call.
     constexpr std::size_t maxSingleReads = 16;
@@ -29,21 +29,21 @@
 }
 
 struct PresenceWatcher::Private {
-    Private(asio::io_context& context, const PlatformOptions& options, OnPresence handler, IsInDoubt inDoubt)
+    Private(asio::io_context& context, const PlatformOptions& options, OnPresence handler, NeedsLeaseCheck leaseCheckFilter)
         : client(context, options)
         , delay(context)
         , leaseDelay(context)
-        , backoff(options.retryFirst, options.retryMax)
-        , watchPause(options.retryFirst)
+        , backoff(options.minRetryDelay, options.maxRetryDelay)
+        , watchPause(options.minRetryDelay)
         , onPresence(std::move(handler))
-        , isInDoubt(std::move(inDoubt))
+        , needsLeaseCheck(std::move(leaseCheckFilter))
     {
     }
 
     void list();
     void watch();
     void watchLater();
-    void takeChanges(const ObjectList& list);
+    void applyChanges(const ObjectList& list);
     void handleChange(const PlatformObject& object);
     void retry(PlatformError error, void (Private::*step)());
     void checkLeasesLater();
@@ -51,9 +51,9 @@
     void checkLeases();
     void listLeases();
     void readLease(const std::string& name);
-    void finishLook(std::optional<PlatformError> failure);
-    std::vector<std::string> namesInDoubt() const;
-    void countLeaseTime(bool answered);
+    void finishLeaseCheck(std::optional<PlatformError> failure);
+    std::vector<std::string> upstreamsToCheck() const;
+    void updateLeaseTimes(bool answered);
     void handleLeases(const ObjectList& list);
     Millis leaseCheckInterval() const;
     void report();
@@ -64,24 +64,24 @@
     Backoff backoff;
     Millis watchPause = 0;
     OnPresence onPresence;
-    IsInDoubt isInDoubt;
+    NeedsLeaseCheck needsLeaseCheck;
     std::map<std::string, Presence> announced;
     std::map<std::string, LeaseView> leases;
     std::vector<Presence> reported;
     bool hasReported = false;
-    ObjectVersion seen = 0;
+    ObjectVersion watchedVersion = 0;
     /// Whether the platform responded to the last lease check.
-    bool lastLookAnswered = false;
+    bool lastCheckAnswered = false;
     bool isChecking = false;
     /// The running lease check: pending individual reads, the lease objects read so far, and the error of a failed read.
-    std::size_t readsOut = 0;
-    ObjectList found;
+    std::size_t pendingReads = 0;
+    ObjectList leaseObjects;
     std::optional<PlatformError> readFailure;
     /// The delay before the next lease check, in milliseconds.
-    Millis checkingAfter = 0;
+    Millis leaseCheckDelay = 0;
     /// The last error of the watch and of the lease checks; each is cleared when its own calls succeed again.
-    PlatformError watchReason = PlatformError::None;
-    PlatformError leaseReason = PlatformError::None;
+    PlatformError watchError = PlatformError::None;
+    PlatformError leaseError = PlatformError::None;
 };
 
 void PresenceWatcher::Private::list()
@@ -92,27 +92,27 @@
             return;
         }
         announced.clear();
-        takeChanges(*list);
+        applyChanges(*list);
     });
 }
 
 void PresenceWatcher::Private::watch()
 {
-    client.watch(presenceKind, seen, [this](const std::optional<ObjectList>& list, PlatformError error) {
+    client.watch(presenceKind, watchedVersion, [this](const std::optional<ObjectList>& list, PlatformError error) {
         if (!list) {
             retry(error, error == PlatformError::Gone ? &Private::list : &Private::watch);
             return;
         }
-        takeChanges(*list);
+        applyChanges(*list);
     });
 }
 
-void PresenceWatcher::Private::takeChanges(const ObjectList& list)
+void PresenceWatcher::Private::applyChanges(const ObjectList& list)
 {
     for (const PlatformObject& object : list.objects)
         handleChange(object);
-    seen = list.version;
-    watchReason = PlatformError::None;
+    watchedVersion = list.version;
+    watchError = PlatformError::None;
     backoff.reset();
     watchLater();
     checkLeasesSooner();
@@ -144,43 +144,43 @@
 
 void PresenceWatcher::Private::retry(PlatformError error, void (Private::*step)())
 {
-    watchReason = error;
+    watchError = error;
     delay.start(backoff.next(), [this, step] { (this->*step)(); });
 }
 
 void PresenceWatcher::Private::checkLeasesLater()
 {
-    checkingAfter = leaseCheckInterval();
-    leaseDelay.start(checkingAfter, [this] { checkLeases(); });
+    leaseCheckDelay = leaseCheckInterval();
+    leaseDelay.start(leaseCheckDelay, [this] { checkLeases(); });
 }
 
 // When an upstream with a short lease joins just after a check of long leases only, the delay computed from those
 // would hide the immediate death of its agent. The delay is shortened.
 void PresenceWatcher::Private::checkLeasesSooner()
 {
-    if (!isChecking && leaseCheckInterval() < checkingAfter)
+    if (!isChecking && leaseCheckInterval() < leaseCheckDelay)
         checkLeasesLater();
 }
 
 void PresenceWatcher::Private::checkLeases()
 {
-    const std::vector<std::string> names = namesInDoubt();
+    const std::vector<std::string> names = upstreamsToCheck();
     std::erase_if(leases, [&names](const auto& lease) { return std::ranges::find(names, lease.first) == names.end(); });
-    if (isInDoubt && names.empty()) {
-        leaseReason = PlatformError::None;
-        lastLookAnswered = false;
+    if (needsLeaseCheck && names.empty()) {
+        leaseError = PlatformError::None;
+        lastCheckAnswered = false;
         checkLeasesLater();
         report();
         return;
     }
     isChecking = true;
-    found = {};
+    leaseObjects = {};
     readFailure.reset();
-    if (!isInDoubt || names.size() > maxSingleReads) {
+    if (!needsLeaseCheck || names.size() > maxSingleReads) {
         listLeases();
         return;
     }
-    readsOut = names.size();
+    pendingReads = names.size();
     for (const std::string& name : names)
         readLease(name);
 }
@@ -188,11 +188,11 @@
 // With thousands of upstreams and hundreds of balancers, listing all leases every few seconds would be by far the largest part
 // of a balancer's control traffic. Only a few upstreams are replaced or fail at any time, so their leases are read
 // individually; beyond maxSingleReads one list takes fewer calls.
-std::vector<std::string> PresenceWatcher::Private::namesInDoubt() const
+std::vector<std::string> PresenceWatcher::Private::upstreamsToCheck() const
 {
     std::vector<std::string> names;
     for (const auto& [name, presence] : announced) {
-        if (!isInDoubt || isInDoubt(presence))
+        if (!needsLeaseCheck || needsLeaseCheck(presence))
             names.push_back(name);
     }
     return names;
@@ -202,8 +202,8 @@
 {
     client.list(leaseKind, [this](const std::optional<ObjectList>& list, PlatformError error) {
         if (list)
-            found = *list;
-        finishLook(list ? std::nullopt : std::optional(error));
+            leaseObjects = *list;
+        finishLeaseCheck(list ? std::nullopt : std::optional(error));
     });
 }
 
@@ -211,33 +211,33 @@
 {
     client.get(leaseKind, name, [this](const std::optional<PlatformObject>& object, PlatformError error) {
         if (object)
-            found.objects.push_back(*object);
+            leaseObjects.objects.push_back(*object);
         else if (error != PlatformError::NotFound)
             readFailure = error;
-        if (--readsOut == 0)
-            finishLook(readFailure);
+        if (--pendingReads == 0)
+            finishLeaseCheck(readFailure);
     });
 }
 
-void PresenceWatcher::Private::finishLook(std::optional<PlatformError> failure)
+void PresenceWatcher::Private::finishLeaseCheck(std::optional<PlatformError> failure)
 {
     isChecking = false;
-    countLeaseTime(!failure);
+    updateLeaseTimes(!failure);
     checkLeasesLater();
-    leaseReason = failure.value_or(PlatformError::None);
+    leaseError = failure.value_or(PlatformError::None);
     if (!failure)
-        handleLeases(found);
+        handleLeases(leaseObjects);
 }
 
 // After an outage of the platform every lease would appear expired, all upstreams would lapse at once and no flow could be
 // placed. The time before a failed check, and from it to the next response, is therefore not counted: agents could not renew.
-void PresenceWatcher::Private::countLeaseTime(bool answered)
+void PresenceWatcher::Private::updateLeaseTimes(bool answered)
 {
     const LeaseOptions options { .maxStep = 2 * leaseCheckInterval() };
     const Millis now = monotonicNow();
     for (auto& [name, lease] : leases)
-        addObservedTime(lease, options, answered && lastLookAnswered, now);
-    lastLookAnswered = answered;
+        addObservedTime(lease, options, answered && lastCheckAnswered, now);
+    lastCheckAnswered = answered;
 }
 
 // The version of the lease object serves as the counter of renewals, since each renewal is a separate write.
@@ -248,7 +248,7 @@
     for (const PlatformObject& object : list.objects)
         versions.emplace(object.name, object.version);
     const Millis now = monotonicNow();
-    for (const std::string& name : namesInDoubt()) {
+    for (const std::string& name : upstreamsToCheck()) {
         const Presence& presence = announced.at(name);
         const auto held = versions.find(name);
         const ObjectVersion version = held == versions.end() ? 0 : held->second;
@@ -263,10 +263,10 @@
 
 Millis PresenceWatcher::Private::leaseCheckInterval() const
 {
-    Millis shortest = 2 * maxLeaseCheck;
+    Millis shortest = 2 * maxLeaseCheckInterval;
     for (const auto& [name, presence] : announced)
         shortest = std::min(shortest, presence.lease);
-    return std::max(shortest / 2, minLeaseCheck);
+    return std::max(shortest / 2, minLeaseCheckInterval);
 }
 
 void PresenceWatcher::Private::report()
@@ -288,8 +288,8 @@
     handler(presences);
 }
 
-PresenceWatcher::PresenceWatcher(asio::io_context& context, const PlatformOptions& options, OnPresence onPresence, IsInDoubt isInDoubt)
-    : m_d(std::make_unique<Private>(context, options, std::move(onPresence), std::move(isInDoubt)))
+PresenceWatcher::PresenceWatcher(asio::io_context& context, const PlatformOptions& options, OnPresence onPresence, NeedsLeaseCheck needsLeaseCheck)
+    : m_d(std::make_unique<Private>(context, options, std::move(onPresence), std::move(needsLeaseCheck)))
 {
     m_d->list();
     m_d->checkLeases();
@@ -299,7 +299,7 @@
 
 PlatformError PresenceWatcher::lastReason() const
 {
-    return m_d->watchReason != PlatformError::None ? m_d->watchReason : m_d->leaseReason;
+    return m_d->watchError != PlatformError::None ? m_d->watchError : m_d->leaseError;
 }
 
 }
--- a/src/libplatform/presencewatcher.h
+++ b/src/libplatform/presencewatcher.h
@@ -16,10 +16,10 @@
     using OnPresence = std::function<void(const std::vector<Presence>&)>;
 
     /// Whether an upstream's lease has to be checked. If its agent is connected over a link, it is alive whatever its lease.
-    using IsInDoubt = std::function<bool(const Presence&)>;
+    using NeedsLeaseCheck = std::function<bool(const Presence&)>;
 
-    /// Without `isInDoubt` every lease is checked.
-    PresenceWatcher(asio::io_context& context, const PlatformOptions& options, OnPresence onPresence, IsInDoubt isInDoubt = {});
+    /// Without `needsLeaseCheck` every lease is checked.
+    PresenceWatcher(asio::io_context& context, const PlatformOptions& options, OnPresence onPresence, NeedsLeaseCheck needsLeaseCheck = {});
     ~PresenceWatcher();
     PresenceWatcher(const PresenceWatcher&) = delete;
     PresenceWatcher& operator=(const PresenceWatcher&) = delete;
--- a/src/libplatform/schemacheck.cpp
+++ b/src/libplatform/schemacheck.cpp
@@ -22,12 +22,12 @@
     /// Beginnings of messages that only report an error in a child.
     constexpr std::array<std::string_view, 2> summaryTexts { "Failed to validate item #", "Failed to validate against" };
 
-    std::string placeOfContext(const std::vector<std::string>& context)
+    std::string pointerFromContext(const std::vector<std::string>& context)
     {
         std::string place;
         for (std::size_t index = 1; index < context.size(); ++index) {
             const std::string& step = context[index];
-            place = placeOf(place, std::string_view(step).substr(1, step.size() - 2));
+            place = childPointer(place, std::string_view(step).substr(1, step.size() - 2));
         }
         return place;
     }
@@ -40,11 +40,11 @@
 
     Fault toFault(const Error& error)
     {
-        Fault fault { .kind = FaultKind::OutOfRange, .place = placeOfContext(error.context), .detail = error.description };
+        Fault fault { .kind = FaultKind::OutOfRange, .place = pointerFromContext(error.context), .detail = error.description };
         if (error.description.starts_with(missingText)) {
             const std::size_t end = error.description.rfind('\'');
             fault.kind = FaultKind::MissingField;
-            fault.place = placeOf(fault.place, error.description.substr(missingText.size(), end - missingText.size()));
+            fault.place = childPointer(fault.place, error.description.substr(missingText.size(), end - missingText.size()));
         } else if (error.description.starts_with(typeText)) {
             fault.kind = FaultKind::WrongType;
         } else if (error.description.starts_with(unknownText)) {
@@ -80,7 +80,7 @@
                 countElement();
                 break;
             case Event::key:
-                note(parsed.get<std::string>());
+                addName(parsed.get<std::string>());
                 break;
             }
             return true;
@@ -100,7 +100,7 @@
                 ++m_levels.back().index;
         }
 
-        void note(const std::string& name)
+        void addName(const std::string& name)
         {
             Level& level = m_levels.back();
             level.name = name;
@@ -108,7 +108,7 @@
                 return;
             std::string place;
             for (const Level& outer : m_levels)
-                place = outer.isArray ? placeOf(place, outer.index) : placeOf(place, outer.name);
+                place = outer.isArray ? childPointer(place, outer.index) : childPointer(place, outer.name);
             m_faults.push_back({ .kind = FaultKind::DuplicateName, .place = std::move(place), .detail = "The field occurs more than once in the same object." });
         }
 
@@ -117,7 +117,7 @@
     };
 
     /// The library also checks the range of a value of the wrong type; one fault for it is enough.
-    void dropRangeOfWrongTypes(std::vector<Fault>& faults)
+    void dropRangeFaultsOfWrongTypes(std::vector<Fault>& faults)
     {
         std::set<std::string> wrongTypes;
         for (const Fault& fault : faults) {
@@ -142,7 +142,7 @@
         if (!isSummary(error))
             found.push_back(toFault(error));
     }
-    dropRangeOfWrongTypes(found);
+    dropRangeFaultsOfWrongTypes(found);
     faults.insert(faults.end(), found.begin(), found.end());
 }
 
@@ -161,7 +161,7 @@
     return document;
 }
 
-std::string placeOf(std::string_view place, std::string_view member)
+std::string childPointer(std::string_view place, std::string_view member)
 {
     std::string pointer(place);
     pointer += '/';
@@ -176,9 +176,9 @@
     return pointer;
 }
 
-std::string placeOf(std::string_view place, std::size_t index)
+std::string childPointer(std::string_view place, std::size_t index)
 {
-    return placeOf(place, std::to_string(index));
+    return childPointer(place, std::to_string(index));
 }
 
 }
--- a/src/libplatform/schemacheck.h
+++ b/src/libplatform/schemacheck.h
@@ -17,7 +17,7 @@
 std::optional<nlohmann::json> parseChecked(std::string_view json, std::string_view schema, std::vector<Fault>& faults);
 
 /// Appends a member's name or an index to the JSON pointer (RFC 6901) `place`.
-std::string placeOf(std::string_view place, std::string_view member);
-std::string placeOf(std::string_view place, std::size_t index);
+std::string childPointer(std::string_view place, std::string_view member);
+std::string childPointer(std::string_view place, std::size_t index);
 
 }
--- a/src/libplatform/serviceobjects.cpp
+++ b/src/libplatform/serviceobjects.cpp
@@ -23,10 +23,10 @@
     if (m_contents.empty())
         finish(PlatformError::None);
     else
-        writeOver(0);
+        putNext(0);
 }
 
-void ServiceObjects::writeOver(ObjectVersion version)
+void ServiceObjects::putNext(ObjectVersion version)
 {
     const auto& [name, content] = *m_contents.begin();
     m_client.put(serviceObjectKind, name, content, version, [this, name = name](const std::optional<ObjectVersion>& written, PlatformError error) {
@@ -34,52 +34,52 @@
             m_contents.erase(name);
             writeNext();
         } else if (error == PlatformError::Conflict) {
-            lookAt(name);
+            overwriteExisting(name);
         } else {
             finish(error);
         }
     });
 }
 
-void ServiceObjects::lookAt(const std::string& name)
+void ServiceObjects::overwriteExisting(const std::string& name)
 {
     m_client.get(serviceObjectKind, name, [this](const std::optional<PlatformObject>& object, PlatformError error) {
         if (object)
-            writeOver(object->version);
+            putNext(object->version);
         else if (error == PlatformError::NotFound)
-            writeOver(0);
+            putNext(0);
         else
             finish(error);
     });
 }
 
-void ServiceObjects::noteVersions(std::vector<std::string> names, Done done)
+void ServiceObjects::recordVersions(std::vector<std::string> names, Done done)
 {
-    m_toNote = std::move(names);
-    m_noted.clear();
+    m_namesToRecord = std::move(names);
+    m_recorded.clear();
     m_done = std::move(done);
-    noteNext();
+    recordNext();
 }
 
-void ServiceObjects::noteNext()
+void ServiceObjects::recordNext()
 {
-    if (m_toNote.empty()) {
+    if (m_namesToRecord.empty()) {
         finish(PlatformError::None);
         return;
     }
-    m_client.get(serviceObjectKind, m_toNote.back(), [this](const std::optional<PlatformObject>& object, PlatformError error) {
+    m_client.get(serviceObjectKind, m_namesToRecord.back(), [this](const std::optional<PlatformObject>& object, PlatformError error) {
         if (!object && error != PlatformError::NotFound) {
             finish(error);
             return;
         }
-        m_toNote.pop_back();
+        m_namesToRecord.pop_back();
         if (object)
-            m_noted.push_back(*object);
-        noteNext();
+            m_recorded.push_back(*object);
+        recordNext();
     });
 }
 
-void ServiceObjects::removeNoted(Done done)
+void ServiceObjects::removeRecorded(Done done)
 {
     m_done = std::move(done);
     removeNext();
@@ -87,15 +87,15 @@
 
 void ServiceObjects::removeNext()
 {
-    if (m_noted.empty()) {
+    if (m_recorded.empty()) {
         finish(PlatformError::None);
         return;
     }
-    const PlatformObject object = std::move(m_noted.back());
-    m_noted.pop_back();
+    const PlatformObject object = std::move(m_recorded.back());
+    m_recorded.pop_back();
     m_client.remove(serviceObjectKind, object.name, object.version, [this](std::optional<ObjectVersion>, PlatformError error) {
-        const bool isGoing = error == PlatformError::None || error == PlatformError::Conflict || error == PlatformError::NotFound;
-        if (isGoing)
+        const bool canContinue = error == PlatformError::None || error == PlatformError::Conflict || error == PlatformError::NotFound;
+        if (canContinue)
             removeNext();
         else
             finish(error);
--- a/src/libplatform/serviceobjects.h
+++ b/src/libplatform/serviceobjects.h
@@ -24,24 +24,24 @@
     void write(std::map<std::string, std::string> contents, Done done);
 
     /// Reads and records the versions of the objects to be removed.
-    void noteVersions(std::vector<std::string> names, Done done);
+    void recordVersions(std::vector<std::string> names, Done done);
 
     /// Removes the recorded objects, except those that have changed since. Objects left over after an error only take up space.
-    void removeNoted(Done done);
+    void removeRecorded(Done done);
 
 private:
     void writeNext();
-    void writeOver(ObjectVersion version);
-    void lookAt(const std::string& name);
-    void noteNext();
+    void putNext(ObjectVersion version);
+    void overwriteExisting(const std::string& name);
+    void recordNext();
     void removeNext();
     void finish(PlatformError error);
 
     PlatformClient& m_client;
     Done m_done;
     std::map<std::string, std::string> m_contents;
-    std::vector<std::string> m_toNote;
-    std::vector<PlatformObject> m_noted;
+    std::vector<std::string> m_namesToRecord;
+    std::vector<PlatformObject> m_recorded;
 };
 
 }
--- a/src/libplatform/storedialect.cpp
+++ b/src/libplatform/storedialect.cpp
@@ -41,7 +41,7 @@
     }
 
     template <typename Result>
-    std::optional<Result> parseBody(const std::string& body, Result (*read)(const json&))
+    std::optional<Result> decodeBody(const std::string& body, Result (*read)(const json&))
     {
         const json document = json::parse(body, nullptr, false);
         if (document.is_discarded())
@@ -53,12 +53,12 @@
         }
     }
 
-    HttpRequest getRequest(const std::string& kind, const std::string& name, ListFreshness)
+    HttpRequest getRequest(const std::string& kind, const std::string& name, ReadFreshness)
     {
         return { .target = objectTarget(kind, name) };
     }
 
-    HttpRequest listRequest(const std::string& kind, const std::string&, ListFreshness)
+    HttpRequest listRequest(const std::string& kind, const std::string&, ReadFreshness)
     {
         return { .target = "/objects/" + percentEncode(kind) };
     }
@@ -83,30 +83,30 @@
         return { .target = "/watch/" + percentEncode(kind) + "?since=" + std::to_string(since) + "&wait=" + std::to_string(wait) };
     }
 
-    std::optional<PlatformObject> readObject(const std::string& body)
+    std::optional<PlatformObject> decodeObject(const std::string& body)
     {
-        return parseBody(body, objectFromJson);
+        return decodeBody(body, objectFromJson);
     }
 
-    std::optional<ObjectList> readChanges(const std::string& body)
+    std::optional<ObjectList> decodeChanges(const std::string& body)
     {
-        return parseBody(body, listFromJson);
+        return decodeBody(body, listFromJson);
     }
 
-    std::optional<ObjectPage> readPage(const std::string& body)
+    std::optional<ObjectPage> decodePage(const std::string& body)
     {
-        auto list = readChanges(body);
+        auto list = decodeChanges(body);
         if (!list)
             return std::nullopt;
         return ObjectPage { .list = std::move(*list) };
     }
 
-    std::optional<ObjectVersion> readVersion(const std::string& body)
+    std::optional<ObjectVersion> decodeVersion(const std::string& body)
     {
-        return parseBody(body, versionFromJson);
+        return decodeBody(body, versionFromJson);
     }
 
-    PlatformError errorOfStatus(int status)
+    PlatformError errorFromStatus(int status)
     {
         switch (status) {
         case statusOk:
@@ -133,11 +133,11 @@
         .put = putRequest,
         .remove = removeRequest,
         .watch = watchRequest,
-        .readObject = readObject,
-        .readPage = readPage,
-        .readChanges = readChanges,
-        .readVersion = readVersion,
-        .errorOfStatus = errorOfStatus,
+        .decodeObject = decodeObject,
+        .decodePage = decodePage,
+        .decodeChanges = decodeChanges,
+        .decodeVersion = decodeVersion,
+        .errorFromStatus = errorFromStatus,
     };
     return dialect;
 }
--- a/src/libruntime/settings.cpp
+++ b/src/libruntime/settings.cpp
@@ -139,7 +139,7 @@
                 if (const auto seed = parseEndpoint(list[index].get<std::string>()))
                     seeds.push_back(*seed);
                 else
-                    addFault(FaultKind::BadAddress, placeOf("/packets/seeds", index), "Must be an IP address and a port, such as 127.0.0.1:80.");
+                    addFault(FaultKind::BadAddress, childPointer("/packets/seeds", index), "Must be an IP address and a port, such as 127.0.0.1:80.");
             }
         }
 
@@ -162,7 +162,7 @@
         void requirePacketField(const char* field)
         {
             if (!m_document["packets"].contains(field))
-                addFault(FaultKind::MissingField, placeOf("/packets", field), "Required for the role packetAgent.");
+                addFault(FaultKind::MissingField, childPointer("/packets", field), "Required for the role packetAgent.");
         }
 
         void crossCheck(const Settings& settings)
--- a/tests/fuzz/fuzzreport.cpp
+++ b/tests/fuzz/fuzzreport.cpp
@@ -11,7 +11,7 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size)
 {
     const HttpRequest request { .method = "PUT", .target = "/targets/i-1", .body = std::string(data, data + size) };
-    const UpstreamCall call = trustAdapter().readUpstreamCall(request);
+    const UpstreamRequest call = trustAdapter().decodeUpstreamRequest(request);
     if (call.report.has_value() != (call.error == DecodeError::None))
         std::abort();
     if (call.report && call.report->coldLeft < 0)
--- a/tests/fuzz/fuzzroutes.cpp
+++ b/tests/fuzz/fuzzroutes.cpp
@@ -12,7 +12,7 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size)
 {
     DecodeError error = DecodeError::None;
-    const auto routes = trustAdapter().readRoutes({ .name = "main", .version = 1, .value = std::string(data, data + size) }, error);
+    const auto routes = trustAdapter().decodeRoutes({ .name = "main", .version = 1, .value = std::string(data, data + size) }, error);
     if (routes.has_value() != (error == DecodeError::None))
         std::abort();
     if (!routes)
--- a/tests/fuzz/fuzzstore.cpp
+++ b/tests/fuzz/fuzzstore.cpp
@@ -14,10 +14,10 @@
 {
     const std::string body(data, data + size);
     const StoreDialect& store = *trustAdapter().store;
-    store.readObject(body);
-    store.readVersion(body);
-    store.readChanges(body);
-    const auto page = store.readPage(body);
+    store.decodeObject(body);
+    store.decodeVersion(body);
+    store.decodeChanges(body);
+    const auto page = store.decodePage(body);
     if (!page)
         return 0;
     for (const PlatformObject& object : page->list.objects) {
--- a/tests/platform/platformfixture.h
+++ b/tests/platform/platformfixture.h
@@ -15,7 +15,7 @@
     {
         m_server = PlatformServer::listen(m_context, { asio::ip::make_address("127.0.0.1"), 0 }, [this](const std::string& line) { m_history.push_back(line); });
         CPPUNIT_ASSERT(m_server);
-        m_options = { .server = m_server->endpoint(), .connectTimeout = 500, .callTimeout = 1000, .watchWait = 500, .retryFirst = 5, .retryMax = 40 };
+        m_options = { .server = m_server->endpoint(), .connectTimeout = 500, .callTimeout = 1000, .watchWait = 500, .minRetryDelay = 5, .maxRetryDelay = 40 };
     }
 
     void tearDown() override { m_server.reset(); }
@@ -29,7 +29,7 @@
         return config;
     }
 
-    ApplyReport finish(const std::function<void(ConfigApply::Handler)>& begin)
+    ApplyReport awaitReport(const std::function<void(ConfigApply::Handler)>& begin)
     {
         std::optional<ApplyReport> report;
         begin([&report](const ApplyReport& done) { report = done; });
@@ -40,13 +40,13 @@
     ApplyReport apply(const Config& config, const ApplyOptions& applyOptions = {})
     {
         ConfigApply change(m_context, m_options, applyOptions);
-        return finish([&](ConfigApply::Handler handler) { change.apply(config, std::move(handler)); });
+        return awaitReport([&](ConfigApply::Handler handler) { change.apply(config, std::move(handler)); });
     }
 
-    ApplyReport setOut(const std::string& name, bool out)
+    ApplyReport setDataCentreOut(const std::string& name, bool out)
     {
         ConfigApply change(m_context, m_options);
-        return finish([&](ConfigApply::Handler handler) { change.setOut(name, out, std::move(handler)); });
+        return awaitReport([&](ConfigApply::Handler handler) { change.setDataCentreOut(name, out, std::move(handler)); });
     }
 
     std::optional<Config> fetch()
--- a/tests/platform/testconfig.cpp
+++ b/tests/platform/testconfig.cpp
@@ -9,13 +9,13 @@
 
 class TestConfig : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(TestConfig);
-    CPPUNIT_TEST(operatorsFileIsRead);
+    CPPUNIT_TEST(configFileIsParsed);
     CPPUNIT_TEST(everyFaultIsListedWithItsPlace);
     CPPUNIT_TEST(allFaultsAreListedAtOnce);
-    CPPUNIT_TEST(canonicalJsonIsReadBack);
+    CPPUNIT_TEST(configJsonRoundTrips);
     CPPUNIT_TEST(serviceObjectIsNamedByItsContent);
-    CPPUNIT_TEST(diffNamesWhatChanged);
-    CPPUNIT_TEST(manifestRemembersRecentApplies);
+    CPPUNIT_TEST(diffReportsChanges);
+    CPPUNIT_TEST(manifestListsRecentApplies);
     CPPUNIT_TEST_SUITE_END();
 
     static std::string service(const std::string& fields)
@@ -31,7 +31,7 @@
         return text;
     }
 
-    void operatorsFileIsRead()
+    void configFileIsParsed()
     {
         std::vector<Fault> faults;
         const auto config = parseConfig(R"({"services":[{"name":"board","address":"10.0.0.1:443","dataCentres":["north","south"],)"
@@ -42,7 +42,7 @@
         CPPUNIT_ASSERT(config->services.front() == expected);
         CPPUNIT_ASSERT(config->findService("board") == config->findAddress(expected.address));
         CPPUNIT_ASSERT(config->isOut("south") && !config->isOut("north") && !config->isOut("east"));
-        CPPUNIT_ASSERT(!config->dataCentres[0].outStated && config->dataCentres[1].outStated);
+        CPPUNIT_ASSERT(!config->dataCentres[0].isOutSpecified && config->dataCentres[1].isOutSpecified);
     }
 
     void everyFaultIsListedWithItsPlace()
@@ -113,7 +113,7 @@
         return config;
     }
 
-    void canonicalJsonIsReadBack()
+    void configJsonRoundTrips()
     {
         std::vector<Fault> faults;
         const auto read = parseConfig(toJson(twoServices()), faults);
@@ -133,7 +133,7 @@
         CPPUNIT_ASSERT(!parseServiceObject("x", "{}"));
     }
 
-    void diffNamesWhatChanged()
+    void diffReportsChanges()
     {
         const Config from = twoServices();
         Config to = twoServices();
@@ -154,10 +154,10 @@
         CPPUNIT_ASSERT(diffConfigs(from, to) == expected);
     }
 
-    void manifestRemembersRecentApplies()
+    void manifestListsRecentApplies()
     {
         Manifest manifest;
-        for (unsigned index = 1; index <= rememberedApplies + 1; ++index)
+        for (unsigned index = 1; index <= maxRecentApplies + 1; ++index)
             manifest = nextManifest(manifest, normalised(twoServices()), "id" + std::to_string(index));
         const auto read = parseManifest(toJson(manifest));
         CPPUNIT_ASSERT(read && read->services == manifest.services && read->dataCentres == manifest.dataCentres);
--- a/tests/platform/testconfigapply.cpp
+++ b/tests/platform/testconfigapply.cpp
@@ -7,17 +7,17 @@
 class TestConfigApply : public PlatformFixture {
     CPPUNIT_TEST_SUITE(TestConfigApply);
     CPPUNIT_TEST(unchangedConfigIsNotWritten);
-    CPPUNIT_TEST(lostAnswerIsSettledByReadingBack);
-    CPPUNIT_TEST(lostAnswerIsSettledAfterOthersApplied);
-    CPPUNIT_TEST(loserOfARaceLearnsTheVersion);
-    CPPUNIT_TEST(takeOutSurvivesAnotherChange);
+    CPPUNIT_TEST(lostResponseIsResolvedByReadingBack);
+    CPPUNIT_TEST(lostResponseIsResolvedAfterAnotherApply);
+    CPPUNIT_TEST(conflictingApplyReportsAcceptedVersion);
+    CPPUNIT_TEST(takeOutIsMergedWithConcurrentChange);
     CPPUNIT_TEST(sameTakeOutTwiceIsOneChange);
-    CPPUNIT_TEST(applyDoesNotBringBackUnasked);
-    CPPUNIT_TEST(refusalsAreTyped);
+    CPPUNIT_TEST(applyKeepsUnspecifiedDataCentreState);
+    CPPUNIT_TEST(failedChangesReportTheirError);
     CPPUNIT_TEST(outageEndsAsUnreachableOrUnknown);
     CPPUNIT_TEST(oldServiceObjectsAreRemoved);
-    CPPUNIT_TEST(removalSparesWhatAnotherApplyNamesAgain);
-    CPPUNIT_TEST(watcherFollowsThroughAnOutage);
+    CPPUNIT_TEST(removalKeepsObjectsReferencedAgain);
+    CPPUNIT_TEST(watcherResumesAfterOutage);
     CPPUNIT_TEST(watcherNeverReportsOlder);
     CPPUNIT_TEST(watcherFetchesOnlyWhatChanged);
     CPPUNIT_TEST(manyServicesAreListedInOneCall);
@@ -36,14 +36,14 @@
         assertAccepted(apply(makeConfig()), 1);
         const auto writes = m_server->calls().writes;
         assertAccepted(apply(makeConfig()), 1, false);
-        assertAccepted(setOut("north", false), 1, false);
+        assertAccepted(setDataCentreOut("north", false), 1, false);
         CPPUNIT_ASSERT_EQUAL(writes, m_server->calls().writes);
         CPPUNIT_ASSERT(fetch()->services == makeConfig().services);
     }
 
     // The platform accepts every write of an apply, but the responses are lost. Without reading back, the operator would get a
     // conflict with the own change.
-    void lostAnswerIsSettledByReadingBack()
+    void lostResponseIsResolvedByReadingBack()
     {
         m_server->setFaults({ .loseAnswers = 2 });
         const ApplyReport report = apply(makeConfig());
@@ -54,13 +54,13 @@
 
     // The response to a change is lost, and another operator's change is accepted before the manifest is read back. The first
     // change must still be reported as accepted, with its own version.
-    void lostAnswerIsSettledAfterOthersApplied()
+    void lostResponseIsResolvedAfterAnotherApply()
     {
         assertAccepted(apply(makeConfig()), 1);
         ConfigApply change(m_context, m_options);
         m_server->setFaults({ .loseAnswers = 1 });
         std::optional<ApplyReport> report;
-        change.setOut("north", true, [&report](const ApplyReport& done) { report = done; });
+        change.setDataCentreOut("north", true, [&report](const ApplyReport& done) { report = done; });
         runUntil(m_context, [this] { return m_server->calls().writes == 3; });
         const auto object = m_server->store().get(manifestKind, manifestName);
         Manifest later = *parseManifest(*object->value);
@@ -72,7 +72,7 @@
 
     // Two operators apply different files concurrently. One is accepted. The other was based on a configuration that is no longer
     // in force and must fail with the accepted version instead of overwriting it unnoticed.
-    void loserOfARaceLearnsTheVersion()
+    void conflictingApplyReportsAcceptedVersion()
     {
         assertAccepted(apply(makeConfig()), 1);
         ConfigApply first(m_context, m_options);
@@ -89,14 +89,14 @@
 
     // A data centre is taken out of service while another operator's change is in progress. Taking it out changes one state only:
     // it must neither fail because of the other change nor undo it.
-    void takeOutSurvivesAnotherChange()
+    void takeOutIsMergedWithConcurrentChange()
     {
         assertAccepted(apply(makeConfig()), 1);
         ConfigApply takeOut(m_context, m_options);
         ConfigApply other(m_context, m_options);
         std::vector<ApplyReport> reports;
-        takeOut.setOut("south", true, [&reports](const ApplyReport& done) { reports.push_back(done); });
-        other.setOut("north", true, [&reports](const ApplyReport& done) { reports.push_back(done); });
+        takeOut.setDataCentreOut("south", true, [&reports](const ApplyReport& done) { reports.push_back(done); });
+        other.setDataCentreOut("north", true, [&reports](const ApplyReport& done) { reports.push_back(done); });
         runUntil(m_context, [&reports] { return reports.size() == 2; });
         // Both together would take every data centre out of service, which the later change detects.
         CPPUNIT_ASSERT(reports[0].error == ApplyError::None && reports[1].error == ApplyError::AllOut);
@@ -104,7 +104,7 @@
         ConfigApply slots(m_context, m_options);
         reports.clear();
         slots.apply(makeConfig(9), [&reports](const ApplyReport& done) { reports.push_back(done); });
-        bringBack.setOut(fetch()->isOut("south") ? "south" : "north", false, [&reports](const ApplyReport& done) { reports.push_back(done); });
+        bringBack.setDataCentreOut(fetch()->isOut("south") ? "south" : "north", false, [&reports](const ApplyReport& done) { reports.push_back(done); });
         runUntil(m_context, [&reports] { return reports.size() == 2; });
         const auto config = fetch();
         CPPUNIT_ASSERT_EQUAL(9U, config->services.front().slots);
@@ -118,8 +118,8 @@
         ConfigApply first(m_context, m_options);
         ConfigApply second(m_context, m_options);
         std::vector<ApplyReport> reports;
-        first.setOut("south", true, [&reports](const ApplyReport& done) { reports.push_back(done); });
-        second.setOut("south", true, [&reports](const ApplyReport& done) { reports.push_back(done); });
+        first.setDataCentreOut("south", true, [&reports](const ApplyReport& done) { reports.push_back(done); });
+        second.setDataCentreOut("south", true, [&reports](const ApplyReport& done) { reports.push_back(done); });
         runUntil(m_context, [&reports] { return reports.size() == 2; });
         assertAccepted(reports[0], 2, true);
         assertAccepted(reports[1], 2, false);
@@ -127,27 +127,27 @@
 
     // An operator takes a data centre out of service; another applies an older file, which does not state whether it is out. The
     // unrelated change must not bring the data centre back.
-    void applyDoesNotBringBackUnasked()
+    void applyKeepsUnspecifiedDataCentreState()
     {
         assertAccepted(apply(makeConfig()), 1);
-        assertAccepted(setOut("south", true), 2);
+        assertAccepted(setDataCentreOut("south", true), 2);
         Config file = makeConfig(6);
         for (DataCentreConfig& dataCentre : file.dataCentres)
-            dataCentre.outStated = false;
+            dataCentre.isOutSpecified = false;
         assertAccepted(apply(file), 3);
         CPPUNIT_ASSERT(fetch()->isOut("south"));
-        file.dataCentres.back().outStated = true;
+        file.dataCentres.back().isOutSpecified = true;
         assertAccepted(apply(file), 4);
         CPPUNIT_ASSERT(!fetch()->isOut("south"));
     }
 
-    void refusalsAreTyped()
+    void failedChangesReportTheirError()
     {
-        CPPUNIT_ASSERT(setOut("south", true).error == ApplyError::NoConfig);
+        CPPUNIT_ASSERT(setDataCentreOut("south", true).error == ApplyError::NoConfig);
         assertAccepted(apply(makeConfig()), 1);
-        CPPUNIT_ASSERT(setOut("east", true).error == ApplyError::UnknownDataCentre);
-        assertAccepted(setOut("south", true), 2);
-        CPPUNIT_ASSERT(setOut("north", true).error == ApplyError::AllOut);
+        CPPUNIT_ASSERT(setDataCentreOut("east", true).error == ApplyError::UnknownDataCentre);
+        assertAccepted(setDataCentreOut("south", true), 2);
+        CPPUNIT_ASSERT(setDataCentreOut("north", true).error == ApplyError::AllOut);
         Config huge = makeConfig();
         huge.dataCentres.push_back({ .name = std::string(std::size_t { 1100 } * 1024, 'x') });
         CPPUNIT_ASSERT(apply(huge).error == ApplyError::Refused);
@@ -164,7 +164,7 @@
         m_server->setFaults({ .loseAnswers = 1 });
         ConfigApply change(m_context, m_options, { .limit = 2000 });
         std::optional<ApplyReport> report;
-        change.setOut("south", true, [&report](const ApplyReport& done) { report = done; });
+        change.setDataCentreOut("south", true, [&report](const ApplyReport& done) { report = done; });
         runUntil(m_context, [this] { return countCalls("PUT", "manifest") == 2; });
         m_server->setFaults({ .down = true });
         runUntil(m_context, [&report] { return report.has_value(); });
@@ -179,16 +179,16 @@
     {
         for (std::uint32_t slots = 1; slots <= 30; ++slots) {
             assertAccepted(apply(makeConfig(slots)), slots);
-            CPPUNIT_ASSERT(serviceObjects() <= keptManifests + 1);
+            CPPUNIT_ASSERT(serviceObjects() <= objectRetentionVersions + 1);
         }
         CPPUNIT_ASSERT_EQUAL(30U, fetch()->services.front().slots);
     }
 
     // One apply is about to remove an old object when another writes the same content again. If the object were removed, no
     // daemon could read the accepted configuration.
-    void removalSparesWhatAnotherApplyNamesAgain()
+    void removalKeepsObjectsReferencedAgain()
     {
-        for (std::uint32_t slots = 1; slots <= keptManifests + 1; ++slots)
+        for (std::uint32_t slots = 1; slots <= objectRetentionVersions + 1; ++slots)
             apply(makeConfig(slots));
         const std::string object = "/objects/serviceconfig/" + serviceObjectName(makeConfig(1).services.front());
         PlatformOptions options = m_options;
@@ -197,10 +197,10 @@
         ConfigApply slow(m_context, options);
         std::optional<ApplyReport> report;
         const auto manifests = countCalls("PUT", "manifest");
-        slow.apply(makeConfig(keptManifests + 2), [&report](const ApplyReport& done) { report = done; });
+        slow.apply(makeConfig(objectRetentionVersions + 2), [&report](const ApplyReport& done) { report = done; });
         runUntil(m_context, [&] { return countCalls("PUT", "manifest") > manifests; });
         m_server->setFaults({ .delay = 1000, .slowFor = "slow" });
-        assertAccepted(apply(makeConfig(1)), keptManifests + 3);
+        assertAccepted(apply(makeConfig(1)), objectRetentionVersions + 3);
         CPPUNIT_ASSERT_EQUAL(std::size_t { 0 }, countCalls("DELETE", object));
         runUntil(m_context, [&report] { return report.has_value(); });
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, countCalls("DELETE", object));
@@ -222,7 +222,7 @@
 
     // The platform is unavailable when a daemon starts, then available, then unavailable during a watch, and then available with a
     // newer configuration. The daemon must keep the last configuration during the outage and then report the newer one.
-    void watcherFollowsThroughAnOutage()
+    void watcherResumesAfterOutage()
     {
         m_server->setFaults({ .down = true });
         Watched watched(m_context, m_options);
@@ -235,7 +235,7 @@
         m_server->setFaults({ .down = true, .hang = true });
         runUntil(m_context, [&] { return watched.watcher.lastReason() == PlatformError::NoAnswer; });
         m_server->setFaults({});
-        assertAccepted(setOut("south", true), 2);
+        assertAccepted(setDataCentreOut("south", true), 2);
         runUntil(m_context, [&] { return watched.seen.size() == 2; });
         CPPUNIT_ASSERT(watched.seen.back().isOut("south"));
     }
--- a/tests/platform/testmembership.cpp
+++ b/tests/platform/testmembership.cpp
@@ -7,17 +7,17 @@
 
 class TestMembership : public PlatformFixture {
     CPPUNIT_TEST_SUITE(TestMembership);
-    CPPUNIT_TEST(presenceIsReadBack);
-    CPPUNIT_TEST(announcementIsSeenDrainedAndWithdrawn);
-    CPPUNIT_TEST(lostAnswersGiveOneIncarnation);
+    CPPUNIT_TEST(presenceJsonRoundTrips);
+    CPPUNIT_TEST(watcherReportsAnnouncementDrainAndWithdrawal);
+    CPPUNIT_TEST(lostResponsesAllocateOneIncarnation);
     CPPUNIT_TEST(incarnationGrowsAcrossWithdrawal);
     CPPUNIT_TEST(pausedAnnouncerIsFenced);
     CPPUNIT_TEST(racingAnnouncersGetDifferentIncarnations);
     CPPUNIT_TEST(deletedAnnouncementIsWrittenAgain);
-    CPPUNIT_TEST(leaseOutlastsAnOutage);
-    CPPUNIT_TEST(leaseOfALostHolderLapses);
-    CPPUNIT_TEST(onlyALeaseInDoubtIsRead);
-    CPPUNIT_TEST(withdrawalGivesUpInAnOutage);
+    CPPUNIT_TEST(leaseDoesNotLapseDuringOutage);
+    CPPUNIT_TEST(leaseOfDeadAgentLapses);
+    CPPUNIT_TEST(onlyLeasesOfUnlinkedAgentsAreRead);
+    CPPUNIT_TEST(withdrawalTimesOutDuringOutage);
     CPPUNIT_TEST_SUITE_END();
 
     static Presence wanted(Millis lease = 300)
@@ -76,7 +76,7 @@
         runUntil(m_context, [&done] { return done; });
     }
 
-    void presenceIsReadBack()
+    void presenceJsonRoundTrips()
     {
         Presence presence = wanted();
         presence.token.incarnation = 4;
@@ -86,7 +86,7 @@
             CPPUNIT_ASSERT(!parsePresence(bad));
     }
 
-    void announcementIsSeenDrainedAndWithdrawn()
+    void watcherReportsAnnouncementDrainAndWithdrawal()
     {
         Watched watched(m_context, m_options);
         runUntil(m_context, [&] { return watched.reports == 1; });
@@ -102,7 +102,7 @@
 
     // Each write of an announcement takes effect but its response is lost. A retry with a new incarnation would make the process
     // fence itself; reading the object back must show that the first write took effect.
-    void lostAnswersGiveOneIncarnation()
+    void lostResponsesAllocateOneIncarnation()
     {
         m_server->setFaults({ .loseAnswers = 3 });
         Announced announced(m_context, m_options, wanted());
@@ -131,7 +131,7 @@
     // old incarnation.
     void pausedAnnouncerIsFenced()
     {
-        for (const bool laterLeaves : { false, true }) {
+        for (const bool laterWithdraws : { false, true }) {
             PlatformOptions options = m_options;
             options.client = "paused";
             Announced paused(m_context, options, wanted());
@@ -140,14 +140,14 @@
             Announced later(m_context, m_options, wanted());
             awaitAnnounced(later);
             awaitRenewals(2);
-            if (laterLeaves)
+            if (laterWithdraws)
                 withdraw(later);
             m_server->setFaults({});
             runUntil(m_context, [&] { return paused.newer.has_value(); });
             CPPUNIT_ASSERT(*paused.newer == later.announced.front().token);
             CPPUNIT_ASSERT(!later.newer);
             const auto object = m_server->store().get(presenceKind, "board-1");
-            CPPUNIT_ASSERT_EQUAL(laterLeaves, !object.has_value());
+            CPPUNIT_ASSERT_EQUAL(laterWithdraws, !object.has_value());
             CPPUNIT_ASSERT(!object || parsePresence(*object->value)->token == later.announced.front().token);
         }
     }
@@ -180,7 +180,7 @@
 
     // The platform is unavailable for longer than the lease, and no agent can renew. If the leases then lapsed, no upstream would
     // get a new flow. Here the watcher gets a response again before the agent does, so that the lease is not renewed yet.
-    void leaseOutlastsAnOutage()
+    void leaseDoesNotLapseDuringOutage()
     {
         constexpr Millis lease = 1000;
         PlatformOptions options = m_options;
@@ -188,15 +188,15 @@
         Watched watched(m_context, m_options);
         const Announced announced(m_context, options, wanted(lease));
         runUntil(m_context, [&] { return watched.isOnly(MemberState::Serving); });
-        const auto looksBefore = countCalls("GET", "/objects/lease\"");
-        runUntil(m_context, [&] { return countCalls("GET", "/objects/lease\"") >= looksBefore + 2; });
+        const auto leaseListsBefore = countCalls("GET", "/objects/lease\"");
+        runUntil(m_context, [&] { return countCalls("GET", "/objects/lease\"") >= leaseListsBefore + 2; });
         m_server->setFaults({ .down = true });
         runUntil(m_context, [&] { return watched.watcher.lastReason() != PlatformError::None; });
         m_context.run_for(std::chrono::milliseconds(2 * lease));
         const unsigned reports = watched.reports;
-        const auto looks = countCalls("GET", "/objects/lease\"");
+        const auto leaseLists = countCalls("GET", "/objects/lease\"");
         m_server->setFaults({ .down = true, .downFor = "holder" });
-        runUntil(m_context, [&] { return countCalls("GET", "/objects/lease\"") > looks; });
+        runUntil(m_context, [&] { return countCalls("GET", "/objects/lease\"") > leaseLists; });
         m_server->setFaults({});
         awaitRenewals(2);
         CPPUNIT_ASSERT(watched.isOnly(MemberState::Serving));
@@ -206,16 +206,16 @@
     // An agent with a short lease dies while the platform is available. Its upstream must soon be reported as lapsed and get no
     // new flow, although the watcher had no leases to check before the upstream joined. When another agent announces the
     // upstream, it must be reported as serving again.
-    void leaseOfALostHolderLapses()
+    void leaseOfDeadAgentLapses()
     {
         Watched watched(m_context, m_options);
         auto announced = std::make_unique<Announced>(m_context, m_options, wanted(200));
         runUntil(m_context, [&] { return watched.isOnly(MemberState::Serving); });
         announced.reset();
-        const auto looks = countCalls("GET", "/objects/lease\"");
+        const auto leaseLists = countCalls("GET", "/objects/lease\"");
         const auto start = std::chrono::steady_clock::now();
         runUntil(m_context, [&] { return watched.isOnly(MemberState::Lapsed); });
-        CPPUNIT_ASSERT(countCalls("GET", "/objects/lease\"") >= looks + 2);
+        CPPUNIT_ASSERT(countCalls("GET", "/objects/lease\"") >= leaseLists + 2);
         CPPUNIT_ASSERT(std::chrono::steady_clock::now() - start < std::chrono::seconds(7));
         const Announced later(m_context, m_options, wanted(200));
         runUntil(m_context, [&] { return watched.isOnly(MemberState::Serving); });
@@ -224,7 +224,7 @@
 
     // One of thousands of linked agents dies. Listing all leases to check that one would be most of a balancer's control traffic.
     // Only the lease of an agent without a link may be read, and none while all agents are linked.
-    void onlyALeaseInDoubtIsRead()
+    void onlyLeasesOfUnlinkedAgentsAreRead()
     {
         bool isLinked = true;
         std::vector<Presence> now;
@@ -243,7 +243,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t { 0 }, static_cast<std::size_t>(countCalls("GET", "/objects/lease\"")));
     }
 
-    void withdrawalGivesUpInAnOutage()
+    void withdrawalTimesOutDuringOutage()
     {
         Announced announced(m_context, m_options, wanted());
         awaitAnnounced(announced);
--- a/tests/scenarios/runner/scenario.cpp
+++ b/tests/scenarios/runner/scenario.cpp
@@ -210,7 +210,7 @@
             const HistoryEvent event { .kind = out ? HistoryKind::OperatorTookOut : HistoryKind::OperatorBroughtBack, .dataCentre = dataCentre };
             if (out)
                 history->append({ .kind = HistoryKind::OperatorBeganTakeOut, .dataCentre = dataCentre });
-            change->apply->setOut(dataCentre, out, [this, change, event](const ApplyReport& report) { noteChange(*change, report, event); });
+            change->apply->setDataCentreOut(dataCentre, out, [this, change, event](const ApplyReport& report) { noteChange(*change, report, event); });
         }
         return changes.size() - 1;
     }
--- a/tests/soak/soakpackets.cpp
+++ b/tests/soak/soakpackets.cpp
@@ -37,7 +37,7 @@
 // The offsets are those of the platform's packet format, little-endian; platform/packetcodec.cpp gives their meaning.
 std::vector<std::uint8_t> encodePacket(const PacketDraft& draft)
 {
-    std::vector<std::uint8_t> packet(bareHeadBytes + draft.data.size());
+    std::vector<std::uint8_t> packet(packetHeaderBytes + draft.data.size());
     put(packet, 0, static_cast<std::uint16_t>(draft.data.size()));
     put(packet, 10, bitsOf(draft.flags));
     put(packet, 16, draft.sequence);
@@ -46,7 +46,7 @@
     put(packet, 28, draft.source.port);
     put(packet, 30, draft.destination.port);
     put(packet, 32, draft.destination.address);
-    std::ranges::copy(draft.data, packet.begin() + bareHeadBytes);
+    std::ranges::copy(draft.data, packet.begin() + packetHeaderBytes);
     put(packet, sumAt, checksumOf(packet));
     return packet;
 }
@@ -60,7 +60,7 @@
 
 std::string dataOf(std::span<const std::uint8_t> packet)
 {
-    return { packet.begin() + bareHeadBytes, packet.end() };
+    return { packet.begin() + packetHeaderBytes, packet.end() };
 }
 
 }
--- a/tests/trustplatform/testtrustplatform.cpp
+++ b/tests/trustplatform/testtrustplatform.cpp
@@ -57,7 +57,7 @@
     {
         DecodeError error = DecodeError::None;
         const FlowKey flow = flowFromCaller(*m_adapter.decodePacket(openingPacket(), error));
-        const std::array<std::uint8_t, bareHeadBytes> expected {
+        const std::array<std::uint8_t, packetHeaderBytes> expected {
             0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0x80, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0x01, 0x00, 0x12, 0xc6, 0xbb, 0x01, 0x41, 0x9c, 0x07, 0x00, 0x40, 0x64
         };
         CPPUNIT_ASSERT(m_adapter.encodeReset(flow, 0) == expected);
@@ -73,20 +73,20 @@
         CPPUNIT_ASSERT(!m_adapter.decodePacket(packet, error) && error == DecodeError::TooShort);
     }
 
-    UpstreamCall put(const std::string& body)
+    UpstreamRequest put(const std::string& body)
     {
-        return m_adapter.readUpstreamCall({ .method = "PUT", .target = "/targets/i-7f", .body = body });
+        return m_adapter.decodeUpstreamRequest({ .method = "PUT", .target = "/targets/i-7f", .body = body });
     }
 
     void parsesReports()
     {
-        const UpstreamCall call = put(R"({"service":"huvo","address":"10.1.0.9:8080","zone":"lj-a","version":"v1","slots":6,"state":"draining","warmup-left-ms":120.5,"sequence":4,"born":1790000000000,"new":1})");
-        CPPUNIT_ASSERT(call.kind == UpstreamCall::Kind::Report && call.report);
+        const UpstreamRequest call = put(R"({"service":"huvo","address":"10.1.0.9:8080","zone":"lj-a","version":"v1","slots":6,"state":"draining","warmup-left-ms":120.5,"sequence":4,"born":1790000000000,"new":1})");
+        CPPUNIT_ASSERT(call.kind == UpstreamRequest::Kind::Report && call.report);
         CPPUNIT_ASSERT_EQUAL(std::string("i-7f"), call.report->id);
         CPPUNIT_ASSERT(call.report->isDraining && call.report->slots == 6 && call.report->coldLeft == 120 && call.report->born == 1790000000000);
-        CPPUNIT_ASSERT(m_adapter.readUpstreamCall({ .method = "DELETE", .target = "/targets/i-7f" }).kind == UpstreamCall::Kind::Farewell);
-        CPPUNIT_ASSERT(m_adapter.readUpstreamCall({ .method = "PUT", .target = "/targets/" }).kind == UpstreamCall::Kind::Unknown);
-        CPPUNIT_ASSERT(m_adapter.readUpstreamCall({ .method = "GET", .target = "/targets/i-7f" }).kind == UpstreamCall::Kind::Unknown);
+        CPPUNIT_ASSERT(m_adapter.decodeUpstreamRequest({ .method = "DELETE", .target = "/targets/i-7f" }).kind == UpstreamRequest::Kind::ShutdownNotice);
+        CPPUNIT_ASSERT(m_adapter.decodeUpstreamRequest({ .method = "PUT", .target = "/targets/" }).kind == UpstreamRequest::Kind::Unknown);
+        CPPUNIT_ASSERT(m_adapter.decodeUpstreamRequest({ .method = "GET", .target = "/targets/i-7f" }).kind == UpstreamRequest::Kind::Unknown);
     }
 
     void rejectsMalformedReports()
@@ -108,15 +108,15 @@
             "limits":{"idle-timeout-ms":15000}})";
     }
 
-    std::optional<RouteTable> readRoutes(const std::string& text, DecodeError& error)
+    std::optional<RouteTable> decodeRoutes(const std::string& text, DecodeError& error)
     {
-        return m_adapter.readRoutes({ .name = "main", .version = 12, .value = text }, error);
+        return m_adapter.decodeRoutes({ .name = "main", .version = 12, .value = text }, error);
     }
 
     void parsesConfiguration()
     {
         DecodeError error = DecodeError::None;
-        const auto table = readRoutes(configText(), error);
+        const auto table = decodeRoutes(configText(), error);
         CPPUNIT_ASSERT(table && table->version == 7 && table->routes.size() == 2 && table->idleLimit == 15000);
         CPPUNIT_ASSERT_EQUAL(std::string("198.18.0.1:8443"), toString(table->routes[0].address));
         CPPUNIT_ASSERT(table->routes[0].shares.size() == 2 && table->routes[0].latencyTarget == 150 && table->routes[0].priority == 2);
@@ -127,12 +127,12 @@
     void rejectsMalformedConfigurations()
     {
         DecodeError error = DecodeError::None;
-        CPPUNIT_ASSERT(!readRoutes("{", error) && error == DecodeError::BadText);
-        CPPUNIT_ASSERT(!readRoutes(R"({"version":7})", error) && error == DecodeError::MissingField);
+        CPPUNIT_ASSERT(!decodeRoutes("{", error) && error == DecodeError::BadText);
+        CPPUNIT_ASSERT(!decodeRoutes(R"({"version":7})", error) && error == DecodeError::MissingField);
         std::string text = configText();
         text.replace(text.find("/8443/"), 6, "/x443/");
-        CPPUNIT_ASSERT(!readRoutes(text, error) && error == DecodeError::OutOfRange);
-        CPPUNIT_ASSERT(!m_adapter.readRoutes({ .name = "other", .value = configText() }, error) && error == DecodeError::None);
+        CPPUNIT_ASSERT(!decodeRoutes(text, error) && error == DecodeError::OutOfRange);
+        CPPUNIT_ASSERT(!m_adapter.decodeRoutes({ .name = "other", .value = configText() }, error) && error == DecodeError::None);
     }
 
     void encodesAndDecodesStoreCalls()
@@ -142,13 +142,13 @@
         CPPUNIT_ASSERT_EQUAL(std::string("/objects/agent/a%20b"), store.put("agent", "a b", "{}", 9).target);
         CPPUNIT_ASSERT_EQUAL(std::string("/objects/agent/a?revision=9"), store.remove("agent", "a", 9).target);
         CPPUNIT_ASSERT_EQUAL(std::string("/objects/agent?watch=5&wait-ms=30000"), store.watch("agent", 5, 30000).target);
-        const auto page = store.readPage(R"({"items":[{"meta":{"name":"a","revision":3},"spec":{"x":1}}],"has-more":true,"as-of":8})");
+        const auto page = store.decodePage(R"({"items":[{"meta":{"name":"a","revision":3},"spec":{"x":1}}],"has-more":true,"as-of":8})");
         CPPUNIT_ASSERT(page && page->hasMore && page->list.version == 8 && page->list.objects[0].value == R"({"x":1})");
-        const auto changes = store.readChanges(R"({"events":[{"deleted":true,"object":{"meta":{"name":"a","revision":9},"spec":{}}}],"as-of":9})");
+        const auto changes = store.decodeChanges(R"({"events":[{"deleted":true,"object":{"meta":{"name":"a","revision":9},"spec":{}}}],"as-of":9})");
         CPPUNIT_ASSERT(changes && !changes->objects[0].value && changes->version == 9);
-        CPPUNIT_ASSERT(!store.readPage("junk") && !store.readObject(R"({"meta":{}})"));
-        CPPUNIT_ASSERT(store.errorOfStatus(201) == PlatformError::None && store.errorOfStatus(503) == PlatformError::Refused);
-        CPPUNIT_ASSERT(store.errorOfStatus(409) == PlatformError::Conflict && store.errorOfStatus(410) == PlatformError::Gone);
+        CPPUNIT_ASSERT(!store.decodePage("junk") && !store.decodeObject(R"({"meta":{}})"));
+        CPPUNIT_ASSERT(store.errorFromStatus(201) == PlatformError::None && store.errorFromStatus(503) == PlatformError::Refused);
+        CPPUNIT_ASSERT(store.errorFromStatus(409) == PlatformError::Conflict && store.errorFromStatus(410) == PlatformError::Gone);
     }
 
     // Guards against a malformed object of another writer (without a spec, without a name, or no object at all) that makes the
@@ -156,14 +156,14 @@
     void malformedObjectDoesNotHideOthers()
     {
         const StoreDialect& store = *m_adapter.store;
-        const auto page = store.readPage(R"({"items":[{"meta":{"name":"a","revision":3}},{"meta":{"revision":"x"},"spec":{}},7,{"meta":{"name":"b","revision":4},"spec":{"x":1}}],"as-of":8})");
+        const auto page = store.decodePage(R"({"items":[{"meta":{"name":"a","revision":3}},{"meta":{"revision":"x"},"spec":{}},7,{"meta":{"name":"b","revision":4},"spec":{"x":1}}],"as-of":8})");
         CPPUNIT_ASSERT(page.has_value());
         CPPUNIT_ASSERT_EQUAL(std::size_t { 4 }, page->list.objects.size());
         CPPUNIT_ASSERT_EQUAL(std::string("a"), page->list.objects[0].name);
         CPPUNIT_ASSERT_EQUAL(std::string("null"), *page->list.objects[0].value);
         CPPUNIT_ASSERT(page->list.objects[1].name.empty() && page->list.objects[2].name.empty());
         CPPUNIT_ASSERT_EQUAL(std::string(R"({"x":1})"), *page->list.objects[3].value);
-        const auto changes = store.readChanges(R"({"events":[7,{"object":{"meta":{"name":"b","revision":9},"spec":{"x":1}}}],"as-of":9})");
+        const auto changes = store.decodeChanges(R"({"events":[7,{"object":{"meta":{"name":"b","revision":9},"spec":{"x":1}}}],"as-of":9})");
         CPPUNIT_ASSERT(changes && changes->objects.size() == 2 && changes->objects[1].name == "b");
     }
 
@@ -189,9 +189,9 @@
             std::string text = config;
             for (int change = 0; change < 4; ++change)
                 text[random() % text.size()] = static_cast<char>(random());
-            readRoutes(text, error);
+            decodeRoutes(text, error);
             put(text);
-            m_adapter.store->readPage(text);
+            m_adapter.store->decodePage(text);
             std::vector<std::uint8_t> packet(random() % 80);
             for (auto& byte : packet)
                 byte = static_cast<std::uint8_t>(random());
