--- a/src/kingcuptraild/agent/flowtable.cpp
+++ b/src/kingcuptraild/agent/flowtable.cpp
@@ -63,7 +63,7 @@
     if (verdict.reason == RefusalReason::WrongService) {
         ++m_wrongService;
         if (m_wrongServiceLog.isDue(m_clock.now()))
-            logEvent(Event::WrongServicePacket, { { "flow", packet.flow() }, { "address", toString(packet.service()) }, { "leftOut", m_wrongServiceLog.takeLeftOut() } });
+            logEvent(Event::WrongServicePacket, { { "flow", packet.flow() }, { "address", toString(packet.service()) }, { "leftOut", m_wrongServiceLog.takeOmittedCount() } });
     }
     switch (verdict.action) {
     case PacketAction::Deliver:
@@ -145,7 +145,7 @@
         deliverMessages(id);
     }
     Flow* still = find(id);
-    if (still && still->isSendBlocked && still->endpoint.hasRoom()) {
+    if (still && still->isSendBlocked && still->endpoint.canSend()) {
         still->isSendBlocked = false;
         m_hooks.onWritable(id);
         still = find(id);
@@ -161,7 +161,7 @@
         if (!payload)
             return;
         flow->idleSince = m_clock.now();
-        const wire::Message* message = readMessage(*payload);
+        const wire::Message* message = decodeMessage(*payload);
         if (!message || !m_hooks.onMessage(id, *message)) {
             endFlow(id, FlowEnd::ProtocolError, RefusalReason::BadRequest);
             return;
--- a/src/kingcuptraild/agent/flowtable.h
+++ b/src/kingcuptraild/agent/flowtable.h
@@ -6,7 +6,7 @@
 #include "libdecision/forwarding.h"
 #include "libdecision/refusal.h"
 #include "libprotocol/flowendpoint.h"
-#include "libruntime/loginterval.h"
+#include "libruntime/logthrottle.h"
 #include "libruntime/metrics.h"
 
 #include <functional>
@@ -149,7 +149,7 @@
     EnumCounters<RefusalReason> m_resets;
     std::uint64_t m_opened = 0;
     std::uint64_t m_wrongService = 0;
-    LogInterval m_wrongServiceLog { 1000 };
+    LogThrottle m_wrongServiceLog { 1000 };
 };
 
 }
--- a/src/kingcuptraild/agent/requestscheduler.cpp
+++ b/src/kingcuptraild/agent/requestscheduler.cpp
@@ -346,7 +346,7 @@
     const bool isSaturated = reason == RefusalReason::QueueFull || reason == RefusalReason::ExpectedWaitTooLong;
     if (!isSaturated || !m_saturationLog.isDue(m_clock.now()))
         return;
-    logEvent(Event::Saturated, { { "leftOut", m_saturationLog.takeLeftOut() }, { "reason", nameOf(reason) }, { "queued", queued(m_admission) }, { "limit", currentLimit(m_admission) } });
+    logEvent(Event::Saturated, { { "leftOut", m_saturationLog.takeOmittedCount() }, { "reason", nameOf(reason) }, { "queued", queued(m_admission) }, { "limit", currentLimit(m_admission) } });
 }
 
 void RequestScheduler::recordOutcome(const RequestPtr& request, LedgerState outcome)
--- a/src/kingcuptraild/agent/requestscheduler.h
+++ b/src/kingcuptraild/agent/requestscheduler.h
@@ -7,7 +7,7 @@
 #include "libdecision/ledger.h"
 #include "libhttp/httpclient.h"
 #include "libruntime/clock.h"
-#include "libruntime/loginterval.h"
+#include "libruntime/logthrottle.h"
 #include "requestmetrics.h"
 
 #include <functional>
@@ -126,7 +126,7 @@
     EarlierOwnerQueries m_earlierOwners;
     std::uint64_t m_lastWork = 0;
     std::size_t m_heldBytes = 0;
-    LogInterval m_saturationLog { 10000 };
+    LogThrottle m_saturationLog { 10000 };
     RefusalReason m_refuseNew = RefusalReason::None;
     RequestMetrics m_metrics;
 };
--- a/src/kingcuptraild/daemon.cpp
+++ b/src/kingcuptraild/daemon.cpp
@@ -71,7 +71,7 @@
         options.dialect = trustAdapter().store;
         options.callTimeout = packetCallTimeout;
         options.watchWait = packetWatchWait;
-        options.pathSilenceLimit = storeSilenceLimit;
+        options.keepAliveTimeout = storeSilenceLimit;
         options.maxRetryDelay = 1000;
         return options;
     }
@@ -108,7 +108,7 @@
 // children are therefore ended while the role still exists.
 Daemon::~Daemon()
 {
-    m_root.endAll();
+    m_root.destroyAll();
 }
 
 int Daemon::run()
--- a/src/kingcuptraild/packets/peernetwork.cpp
+++ b/src/kingcuptraild/packets/peernetwork.cpp
@@ -261,7 +261,7 @@
         updateEntry(entries.front());
     else
         updateEntries(entries);
-    for (const ReaderHeartbeat& reader : readersOf(message))
+    for (const ReaderHeartbeat& reader : readerHeartbeatsOf(message))
         recordHeartbeat(m_readers, reader, m_lastGossipAt);
     recordPeerDigest(m_agentsAgreement, message.table->agents_digest() == m_agentsDigest, m_clock.now());
     if (message.table->digest() != m_digest)
@@ -333,7 +333,7 @@
 
 void PeerNetwork::sendGossip(std::uint32_t address, const std::vector<PeerEntry>& changed, bool wantsAnswer)
 {
-    NewsMessage news { .configVersion = m_view.routes.version, .digest = m_digest, .agentsDigest = m_agentsDigest, .outages = &m_view.outages, .entries = changed, .readers = currentHeartbeats(m_readers, m_clock.now()), .wantsAnswer = wantsAnswer };
+    GossipMessage news { .configVersion = m_view.routes.version, .digest = m_digest, .agentsDigest = m_agentsDigest, .outages = &m_view.outages, .entries = changed, .readers = currentHeartbeats(m_readers, m_clock.now()), .wantsAnswer = wantsAnswer };
     std::erase_if(news.entries, [](const PeerEntry& entry) { return entry.name.empty(); });
     if (news.entries.size() > maxEntriesPerMessage)
         news.entries.resize(maxEntriesPerMessage);
--- a/src/libcaller/callerflows.cpp
+++ b/src/libcaller/callerflows.cpp
@@ -133,7 +133,7 @@
     }
     flow->flow.receive(packet, clock.now());
     while (const auto payload = flow->flow.takeDelivered()) {
-        if (const auto* message = readMessage(*payload))
+        if (const auto* message = decodeMessage(*payload))
             handleMessage(*message);
         else
             ++counters.badMessages;
--- a/src/libhttp/httpclient.cpp
+++ b/src/libhttp/httpclient.cpp
@@ -64,7 +64,7 @@
         Call(asio::io_context& context, const HttpCallOptions& options, Handlers handlers)
             : m_socket(context)
             , m_deadline(context)
-            , m_patience(context)
+            , m_waitTimer(context)
             , m_options(options)
             , m_handlers(std::move(handlers))
             , m_reader(HttpMessageReader::Kind::Response, options.maxBodyBytes)
@@ -79,11 +79,11 @@
     private:
         void connect(const asio::ip::tcp::endpoint& server);
         void handleConnected();
-        void watchPath();
+        void enableKeepAlive();
         void write();
         void read();
         void handleBytes(std::size_t count);
-        void watchSilence();
+        void restartSilenceTimer();
         void succeed();
         void fail(HttpError error);
         void finish(std::optional<HttpResponse> response, HttpError error);
@@ -93,7 +93,7 @@
         asio::ip::tcp::socket m_socket;
         asio::steady_timer m_deadline;
         /// Limits first the time to connect, later the time between receptions.
-        asio::steady_timer m_patience;
+        asio::steady_timer m_waitTimer;
         HttpCallOptions m_options;
         Handlers m_handlers;
         HttpMessageReader m_reader;
@@ -102,7 +102,7 @@
         std::array<char, readBytes> m_input {};
         HttpResponse m_response;
         bool m_mayHaveReached = false;
-        bool m_hasBegun = false;
+        bool m_hasReceivedBytes = false;
         bool m_isReading = false;
         bool m_paused = false;
         bool m_ended = false;
@@ -141,8 +141,8 @@
     void Call::connect(const asio::ip::tcp::endpoint& server)
     {
         auto self = shared_from_this();
-        m_patience.expires_after(std::chrono::milliseconds(m_options.connectTimeout));
-        m_patience.async_wait([self](asio::error_code error) {
+        m_waitTimer.expires_after(std::chrono::milliseconds(m_options.connectTimeout));
+        m_waitTimer.async_wait([self](asio::error_code error) {
             if (!error && !self->m_mayHaveReached)
                 self->fail(HttpError::ConnectTimeout);
         });
@@ -158,11 +158,11 @@
 
     void Call::handleConnected()
     {
-        m_patience.cancel();
+        m_waitTimer.cancel();
         asio::error_code ignored;
         m_socket.set_option(asio::ip::tcp::no_delay(true), ignored);
-        if (m_options.pathSilenceLimit > 0)
-            watchPath();
+        if (m_options.keepAliveTimeout > 0)
+            enableKeepAlive();
         m_mayHaveReached = true;
         write();
         read();
@@ -170,12 +170,12 @@
 
     // When a device between the two hosts has dropped its connection state, only unanswered keep-alive probes reveal it
     // while the client waits for an answer. TCP_USER_TIMEOUT limits how long sent bytes may stay unacknowledged.
-    void Call::watchPath()
+    void Call::enableKeepAlive()
     {
         constexpr int probes = 2;
         constexpr Millis millisPerSecond = 1000;
-        const int seconds = static_cast<int>(std::max<Millis>(m_options.pathSilenceLimit / millisPerSecond / (probes + 1), 1));
-        const int limit = static_cast<int>(m_options.pathSilenceLimit);
+        const int seconds = static_cast<int>(std::max<Millis>(m_options.keepAliveTimeout / millisPerSecond / (probes + 1), 1));
+        const int limit = static_cast<int>(m_options.keepAliveTimeout);
         using Integer = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPIDLE>;
         asio::error_code ignored;
         m_socket.set_option(asio::socket_base::keep_alive(true), ignored);
@@ -218,8 +218,8 @@
 
     void Call::handleBytes(std::size_t count)
     {
-        m_hasBegun = true;
-        watchSilence();
+        m_hasReceivedBytes = true;
+        restartSilenceTimer();
         const HttpError error = m_reader.feed({ m_input.data(), count });
         if (m_ended)
             return;
@@ -231,14 +231,14 @@
 
     // When a device on the path drops its connection state, bytes are lost without an error on either side. The timer ends
     // the call when nothing has been received for too long.
-    void Call::watchSilence()
+    void Call::restartSilenceTimer()
     {
         if (m_options.silenceLimit <= 0 || m_ended)
             return;
         auto self = shared_from_this();
-        m_patience.expires_after(std::chrono::milliseconds(m_options.silenceLimit));
-        m_patience.async_wait([self](asio::error_code error) {
-            const bool isOverdue = self->m_patience.expiry() <= std::chrono::steady_clock::now();
+        m_waitTimer.expires_after(std::chrono::milliseconds(m_options.silenceLimit));
+        m_waitTimer.async_wait([self](asio::error_code error) {
+            const bool isOverdue = self->m_waitTimer.expiry() <= std::chrono::steady_clock::now();
             if (!error && isOverdue && !self->m_paused)
                 self->fail(HttpError::Silent);
         });
@@ -283,7 +283,7 @@
         m_reader.stop();
         asio::error_code ignored;
         m_deadline.cancel(ignored);
-        m_patience.cancel(ignored);
+        m_waitTimer.cancel(ignored);
         m_socket.close(ignored);
         // The handlers may be running and may hold a reference to this call, so they are released after the stack has
         // unwound.
@@ -300,8 +300,8 @@
         if (!m_paused || m_ended)
             return;
         m_paused = false;
-        if (m_hasBegun)
-            watchSilence();
+        if (m_hasReceivedBytes)
+            restartSilenceTimer();
         if (m_mayHaveReached)
             read();
     }
--- a/src/libhttp/httpclient.h
+++ b/src/libhttp/httpclient.h
@@ -21,7 +21,7 @@
     /// Time without any TCP acknowledgement from the peer's host after which the connection counts as lost, in milliseconds; 0
     /// means that only the limits above apply. Detects that a device on the path has dropped its connection state while
     /// the client waits for an answer.
-    Millis pathSilenceLimit = 0;
+    Millis keepAliveTimeout = 0;
     /// Maximum size of a collected body. A body passed on in chunks is not limited, since it is not buffered.
     std::size_t maxBodyBytes = std::size_t { 16 } * 1024 * 1024;
 };
--- a/src/libhttp/httpmessagereader.cpp
+++ b/src/libhttp/httpmessagereader.cpp
@@ -5,7 +5,7 @@
 namespace {
 
     /// Return values of http_parser's callbacks.
-    constexpr int goOn = 0;
+    constexpr int continueParsing = 0;
     constexpr int skipBody = 1;
     constexpr int stopParsing = -1;
 
@@ -56,7 +56,7 @@
         http_parser_settings_init(&made);
         made.on_url = [](http_parser* parser, const char* data, std::size_t size) {
             self(parser).m_target.append(data, size);
-            return goOn;
+            return continueParsing;
         };
         made.on_header_field = [](http_parser* parser, const char* data, std::size_t size) { return self(parser).handleField({ data, size }); };
         made.on_header_value = [](http_parser* parser, const char* data, std::size_t size) { return self(parser).handleValue({ data, size }); };
@@ -81,21 +81,21 @@
         m_headers.emplace_back();
     m_lastWasField = true;
     m_headers.back().name.append(part);
-    return goOn;
+    return continueParsing;
 }
 
 int HttpMessageReader::handleValue(std::string_view part)
 {
     m_lastWasField = false;
     m_headers.back().value.append(part);
-    return goOn;
+    return continueParsing;
 }
 
 int HttpMessageReader::handleHead()
 {
     m_lastWasField = false;
     if (isInterim())
-        return goOn;
+        return continueParsing;
     if (!hasKnownEnd() || (m_kind == Kind::Response && status() == statusSwitchingProtocols))
         return refuse(HttpError::BadMessage);
     const bool hasLength = (m_parser.flags & F_CONTENTLENGTH) != 0;
@@ -105,30 +105,30 @@
         m_handlers.onHead();
     if (m_stopped)
         return stopParsing;
-    return m_expectsNoBody ? skipBody : goOn;
+    return m_expectsNoBody ? skipBody : continueParsing;
 }
 
 int HttpMessageReader::handleBody(std::string_view part)
 {
     if (m_handlers.onBody) {
         m_handlers.onBody(part);
-        return m_stopped ? stopParsing : goOn;
+        return m_stopped ? stopParsing : continueParsing;
     }
     if (m_body.size() + part.size() > m_maxBodyBytes)
         return refuse(HttpError::TooLarge);
     m_body.append(part);
-    return goOn;
+    return continueParsing;
 }
 
 int HttpMessageReader::handleEnd()
 {
     if (isInterim()) {
         m_headers.clear();
-        return goOn;
+        return continueParsing;
     }
     m_complete = true;
     http_parser_pause(&m_parser, 1);
-    return goOn;
+    return continueParsing;
 }
 
 int HttpMessageReader::refuse(HttpError error)
--- a/src/libhttp/httpserver.cpp
+++ b/src/libhttp/httpserver.cpp
@@ -25,7 +25,7 @@
     class Connection;
 
     /// State shared by the server and its connections. It outlives the server while a connection has a pending operation.
-    struct Shared {
+    struct SharedState {
         HttpServerOptions options;
         HttpHandler handler;
         std::set<std::shared_ptr<Connection>> connections;
@@ -51,7 +51,7 @@
     /// One client connection: reads one request, passes it to the handler, writes the response and closes.
     class Connection final : public std::enable_shared_from_this<Connection> {
     public:
-        Connection(asio::ip::tcp::socket socket, std::shared_ptr<Shared> shared)
+        Connection(asio::ip::tcp::socket socket, std::shared_ptr<SharedState> shared)
             : m_socket(std::move(socket))
             , m_requestTimer(m_socket.get_executor())
             , m_writeTimer(m_socket.get_executor())
@@ -65,9 +65,9 @@
         void beginStream(int status, const std::vector<HttpHeader>& headers);
         void writeChunk(std::string_view chunk);
         void endStream();
-        void shut();
-        bool isOpen() const { return !m_closed && !m_lastQueued; }
-        void setOnGone(std::function<void()> onGone);
+        void closeConnection();
+        bool isOpen() const { return !m_closed && !m_isResponseQueued; }
+        void setOnDisconnect(std::function<void()> onDisconnect);
 
     private:
         void read();
@@ -76,23 +76,23 @@
         void refuse(int status);
         void queue(std::string bytes);
         void write();
-        void watchWrite();
+        void startWriteTimer();
         void linger();
 
         asio::ip::tcp::socket m_socket;
         asio::steady_timer m_requestTimer;
         asio::steady_timer m_writeTimer;
-        std::shared_ptr<Shared> m_shared;
+        std::shared_ptr<SharedState> m_shared;
         HttpMessageReader m_reader;
         std::array<char, readBytes> m_input {};
         std::deque<std::string> m_output;
         std::size_t m_outputBytes = 0;
-        std::function<void()> m_onGone;
+        std::function<void()> m_onDisconnect;
         bool m_isHead = false;
-        bool m_handed = false;
+        bool m_isRequestDone = false;
         bool m_streaming = false;
         bool m_isWriting = false;
-        bool m_lastQueued = false;
+        bool m_isResponseQueued = false;
         bool m_closed = false;
     };
 
@@ -107,7 +107,7 @@
         ~Responder() override
         {
             if (m_connection->isOpen())
-                m_connection->shut();
+                m_connection->closeConnection();
         }
 
         Responder(const Responder&) = delete;
@@ -117,9 +117,9 @@
         void beginStream(int status, std::vector<HttpHeader> headers) override { m_connection->beginStream(status, headers); }
         void writeChunk(std::string_view chunk) override { m_connection->writeChunk(chunk); }
         void endStream() override { m_connection->endStream(); }
-        void abort() override { m_connection->shut(); }
+        void abort() override { m_connection->closeConnection(); }
         bool isOpen() const override { return m_connection->isOpen(); }
-        void setOnGone(std::function<void()> onGone) override { m_connection->setOnGone(std::move(onGone)); }
+        void setOnDisconnect(std::function<void()> onDisconnect) override { m_connection->setOnDisconnect(std::move(onDisconnect)); }
 
     private:
         std::shared_ptr<Connection> m_connection;
@@ -134,7 +134,7 @@
         // timeout covers the whole request, so that such bytes do not extend it.
         m_requestTimer.expires_after(std::chrono::milliseconds(m_shared->options.requestTimeout));
         m_requestTimer.async_wait([self](asio::error_code error) {
-            if (!error && !self->m_handed)
+            if (!error && !self->m_isRequestDone)
                 self->refuse(statusRequestTimeout);
         });
         read();
@@ -147,7 +147,7 @@
             if (self->m_closed)
                 return;
             if (error) {
-                self->shut();
+                self->closeConnection();
                 return;
             }
             self->handleBytes(count);
@@ -160,10 +160,10 @@
     {
         // Bytes after a refused or answered request are read and discarded, since closing with unread bytes would reset
         // the connection and the client could lose the response.
-        if (m_lastQueued)
+        if (m_isResponseQueued)
             return;
-        if (m_handed) {
-            shut();
+        if (m_isRequestDone) {
+            closeConnection();
             return;
         }
         const HttpError error = m_reader.feed({ m_input.data(), count });
@@ -177,7 +177,7 @@
 
     void Connection::handleRequest()
     {
-        m_handed = true;
+        m_isRequestDone = true;
         m_requestTimer.cancel();
         HttpRequest request {
             .method = m_reader.method(),
@@ -187,14 +187,14 @@
         };
         m_isHead = request.method == "HEAD";
         auto responder = std::make_shared<Responder>(shared_from_this());
-        const std::shared_ptr<Shared> shared = m_shared;
+        const std::shared_ptr<SharedState> shared = m_shared;
         if (shared->handler)
             shared->handler(std::move(request), std::move(responder));
     }
 
     void Connection::refuse(int status)
     {
-        m_handed = true;
+        m_isRequestDone = true;
         respond({ .status = status, .headers = {}, .body = {} });
     }
 
@@ -206,8 +206,8 @@
         message += "Content-Length: " + std::to_string(response.body.size()) + "\r\n\r\n";
         if (!m_isHead)
             message += response.body;
-        m_lastQueued = true;
-        m_onGone = nullptr;
+        m_isResponseQueued = true;
+        m_onDisconnect = nullptr;
         queue(std::move(message));
     }
 
@@ -225,7 +225,7 @@
         if (!isOpen() || !m_streaming || chunk.empty())
             return;
         if (m_outputBytes + chunk.size() > m_shared->options.maxStreamBytes) {
-            shut();
+            closeConnection();
             return;
         }
         queue(serialiseChunk(chunk));
@@ -235,15 +235,15 @@
     {
         if (!isOpen() || !m_streaming)
             return;
-        m_lastQueued = true;
-        m_onGone = nullptr;
+        m_isResponseQueued = true;
+        m_onDisconnect = nullptr;
         queue("0\r\n\r\n");
     }
 
-    void Connection::setOnGone(std::function<void()> onGone)
+    void Connection::setOnDisconnect(std::function<void()> onDisconnect)
     {
         if (isOpen())
-            m_onGone = std::move(onGone);
+            m_onDisconnect = std::move(onDisconnect);
     }
 
     void Connection::queue(std::string bytes)
@@ -258,19 +258,19 @@
         if (m_isWriting || m_closed)
             return;
         if (m_output.empty()) {
-            if (m_lastQueued)
+            if (m_isResponseQueued)
                 linger();
             return;
         }
         m_isWriting = true;
-        watchWrite();
+        startWriteTimer();
         auto self = shared_from_this();
         m_socket.async_write_some(asio::buffer(m_output.front()), [self](asio::error_code error, std::size_t count) {
             self->m_isWriting = false;
             if (self->m_closed)
                 return;
             if (error) {
-                self->shut();
+                self->closeConnection();
                 return;
             }
             self->m_outputBytes -= count;
@@ -282,13 +282,13 @@
         });
     }
 
-    void Connection::watchWrite()
+    void Connection::startWriteTimer()
     {
         auto self = shared_from_this();
         m_writeTimer.expires_after(std::chrono::milliseconds(m_shared->options.writeTimeout));
         m_writeTimer.async_wait([self](asio::error_code error) {
             if (!error && self->m_isWriting)
-                self->shut();
+                self->closeConnection();
         });
     }
 
@@ -300,11 +300,11 @@
         m_writeTimer.expires_after(lingerTime);
         m_writeTimer.async_wait([self](asio::error_code error) {
             if (!error)
-                self->shut();
+                self->closeConnection();
         });
     }
 
-    void Connection::shut()
+    void Connection::closeConnection()
     {
         if (m_closed)
             return;
@@ -315,10 +315,10 @@
         m_socket.close(ignored);
         auto self = shared_from_this();
         m_shared->connections.erase(self);
-        const auto onGone = std::move(m_onGone);
-        m_onGone = nullptr;
-        if (onGone)
-            onGone();
+        const auto onDisconnect = std::move(m_onDisconnect);
+        m_onDisconnect = nullptr;
+        if (onDisconnect)
+            onDisconnect();
     }
 
     class Server final : public HttpServer {
@@ -326,7 +326,7 @@
         Server(asio::io_context& context, asio::ip::tcp::acceptor acceptor, const HttpServerOptions& options, HttpHandler handler)
             : m_acceptor(std::move(acceptor))
             , m_retryTimer(context)
-            , m_shared(std::make_shared<Shared>())
+            , m_shared(std::make_shared<SharedState>())
         {
             m_shared->options = options;
             m_shared->handler = std::move(handler);
@@ -341,7 +341,7 @@
             m_shared->handler = nullptr;
             const auto connections = m_shared->connections;
             for (const auto& connection : connections)
-                connection->shut();
+                connection->closeConnection();
         }
 
         Server(const Server&) = delete;
@@ -355,12 +355,12 @@
 
     private:
         void accept();
-        void admit(asio::ip::tcp::socket socket);
-        void acceptLater();
+        void addConnection(asio::ip::tcp::socket socket);
+        void scheduleAccept();
 
         asio::ip::tcp::acceptor m_acceptor;
         asio::steady_timer m_retryTimer;
-        std::shared_ptr<Shared> m_shared;
+        std::shared_ptr<SharedState> m_shared;
         /// Expires with the server. Checked by completions that were already queued and can no longer be cancelled.
         std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
     };
@@ -371,15 +371,15 @@
             if (error == asio::error::operation_aborted || alive.expired())
                 return;
             if (error) {
-                acceptLater();
+                scheduleAccept();
                 return;
             }
-            admit(std::move(socket));
+            addConnection(std::move(socket));
             accept();
         });
     }
 
-    void Server::admit(asio::ip::tcp::socket socket)
+    void Server::addConnection(asio::ip::tcp::socket socket)
     {
         // Too many clients would exhaust file descriptors and buffers, and existing connections would fail. A connection
         // beyond the limit is therefore closed at once, before a buffer is allocated.
@@ -390,7 +390,7 @@
         connection->start();
     }
 
-    void Server::acceptLater()
+    void Server::scheduleAccept()
     {
         m_retryTimer.expires_after(acceptRetryDelay);
         m_retryTimer.async_wait([this, alive = std::weak_ptr<bool>(m_alive)](asio::error_code error) {
--- a/src/libhttp/httpserver.h
+++ b/src/libhttp/httpserver.h
@@ -42,7 +42,7 @@
     virtual bool isOpen() const = 0;
 
     /// Sets a handler that is called once if the connection closes before the response is finished.
-    virtual void setOnGone(std::function<void()> onGone) = 0;
+    virtual void setOnDisconnect(std::function<void()> onDisconnect) = 0;
 };
 
 using HttpHandler = std::function<void(HttpRequest, std::shared_ptr<HttpResponder>)>;
--- a/src/libplatform/platformclient.cpp
+++ b/src/libplatform/platformclient.cpp
@@ -38,7 +38,7 @@
     ++callsMade;
     if (!options.client.empty())
         request.headers.push_back({ .name = "X-Client", .value = options.client });
-    const HttpCallOptions callOptions { .connectTimeout = options.connectTimeout, .timeout = timeout, .pathSilenceLimit = options.pathSilenceLimit };
+    const HttpCallOptions callOptions { .connectTimeout = options.connectTimeout, .timeout = timeout, .keepAliveTimeout = options.keepAliveTimeout };
     const auto weakCall = std::make_shared<std::weak_ptr<HttpCall>>();
     HttpCall::Handlers handlers;
     const bool isWrite = request.method != "GET";
--- a/src/libplatform/platformclient.h
+++ b/src/libplatform/platformclient.h
@@ -70,7 +70,7 @@
     Millis watchWait = 20000;
     /// How long the store's host may not respond on a call's connection before the call fails, in milliseconds; 0 means as long
     /// as the timeout of the call.
-    Millis pathSilenceLimit = 0;
+    Millis keepAliveTimeout = 0;
     /// Name of this process, sent with each call so that the platform can count calls for each client.
     std::string client;
     /// Minimum and maximum delay before a watcher or announcer retries, in milliseconds. The minimum is also the pause of a
--- a/src/libprotocol/flowendpoint.cpp
+++ b/src/libprotocol/flowendpoint.cpp
@@ -12,7 +12,7 @@
     constexpr float roundTripGain = 0.125F;
     constexpr float deviationGain = 0.25F;
     constexpr float deviationFactor = 4;
-    constexpr Millis resendAfterUnmeasured = 150;
+    constexpr Millis initialRetransmitTimeout = 150;
     constexpr std::uint32_t maxBackoffSteps = 5;
 
 }
@@ -24,7 +24,7 @@
 
 bool FlowEndpoint::send(Bytes payload)
 {
-    if (!hasRoom())
+    if (!canSend())
         return false;
     m_outgoing[++m_lastQueued] = { .payload = std::make_shared<const Bytes>(std::move(payload)) };
     return true;
@@ -38,7 +38,7 @@
         if (++position > m_options.windowSegments)
             break;
         const bool isFirst = outgoing.sentAt < 0;
-        if (!isFirst && now - outgoing.sentAt < resendAfter(outgoing.sends))
+        if (!isFirst && now - outgoing.sentAt < retransmitTimeout(outgoing.sends))
             continue;
         if (!isFirst)
             ++m_resent;
@@ -56,7 +56,7 @@
     for (const auto& [sequence, outgoing] : m_outgoing) {
         if (++position > m_options.windowSegments)
             break;
-        const Millis due = outgoing.sentAt < 0 ? 0 : outgoing.sentAt + resendAfter(outgoing.sends);
+        const Millis due = outgoing.sentAt < 0 ? 0 : outgoing.sentAt + retransmitTimeout(outgoing.sends);
         next = next ? std::min(*next, due) : due;
     }
     return next;
@@ -81,7 +81,7 @@
             return;
         // A retransmitted segment gives no round-trip sample, since it is unknown which copy was acknowledged.
         if (outgoing.sends == 1)
-            measure(now - outgoing.sentAt);
+            recordRoundTrip(now - outgoing.sentAt);
         m_outgoing.erase(m_outgoing.begin());
     }
 }
@@ -97,16 +97,16 @@
     return payload;
 }
 
-Millis FlowEndpoint::resendAfter(std::uint32_t sends) const
+Millis FlowEndpoint::retransmitTimeout(std::uint32_t sends) const
 {
     const Millis measured = m_roundTrip > 0
         ? static_cast<Millis>(std::ceil(m_roundTrip + deviationFactor * m_roundTripDeviation))
-        : resendAfterUnmeasured;
+        : initialRetransmitTimeout;
     const std::uint32_t steps = std::min(sends > 0 ? sends - 1 : 0, maxBackoffSteps);
-    return std::clamp(std::max(measured, m_options.minResendAfter) << steps, m_options.minResendAfter, m_options.maxResendAfter);
+    return std::clamp(std::max(measured, m_options.minRetransmitTimeout) << steps, m_options.minRetransmitTimeout, m_options.maxRetransmitTimeout);
 }
 
-void FlowEndpoint::measure(Millis roundTrip)
+void FlowEndpoint::recordRoundTrip(Millis roundTrip)
 {
     const float sample = std::max<float>(1, static_cast<float>(roundTrip));
     if (m_roundTrip == 0) {
--- a/src/libprotocol/flowendpoint.h
+++ b/src/libprotocol/flowendpoint.h
@@ -20,8 +20,8 @@
     /// Maximum number of queued segments, including those in flight.
     std::size_t queueSegments = 1024;
     /// Bounds of the retransmission timeout, in milliseconds.
-    Millis minResendAfter = 40;
-    Millis maxResendAfter = 1000;
+    Millis minRetransmitTimeout = 40;
+    Millis maxRetransmitTimeout = 1000;
 };
 
 /// One end of a reliable flow: numbers the segments that it sends, retransmits them until they are acknowledged, and
@@ -61,7 +61,7 @@
     /// The highest sequence number up to which every segment has arrived.
     std::uint32_t receivedUpTo() const { return m_receivedUpTo; }
 
-    bool hasRoom() const { return m_outgoing.size() < m_options.queueSegments; }
+    bool canSend() const { return m_outgoing.size() < m_options.queueSegments; }
     std::size_t unacknowledged() const { return m_outgoing.size(); }
     std::uint64_t resent() const { return m_resent; }
 
@@ -72,8 +72,8 @@
         std::uint32_t sends = 0;
     };
 
-    Millis resendAfter(std::uint32_t sends) const;
-    void measure(Millis roundTrip);
+    Millis retransmitTimeout(std::uint32_t sends) const;
+    void recordRoundTrip(Millis roundTrip);
 
     FlowEndpointOptions m_options;
     std::map<std::uint32_t, Outgoing> m_outgoing;
--- a/src/libprotocol/framing.cpp
+++ b/src/libprotocol/framing.cpp
@@ -21,7 +21,7 @@
     return Bytes(builder.GetBufferPointer(), builder.GetBufferPointer() + builder.GetSize());
 }
 
-const wire::Message* readMessage(std::span<const std::uint8_t> payload)
+const wire::Message* decodeMessage(std::span<const std::uint8_t> payload)
 {
     flatbuffers::Verifier verifier(payload.data(), payload.size(), maxTableDepth, maxTables);
     if (!verifier.VerifyBuffer<wire::Message>(nullptr))
--- a/src/libprotocol/framing.h
+++ b/src/libprotocol/framing.h
@@ -64,7 +64,7 @@
 
 /// Decodes the message in a segment's payload. The result points into `payload`; it is null when the bytes are not a
 /// complete, valid message.
-const wire::Message* readMessage(std::span<const std::uint8_t> payload);
+const wire::Message* decodeMessage(std::span<const std::uint8_t> payload);
 
 /// Splits a byte stream into frames. After an error it returns no more frames, since frame boundaries are lost.
 class FrameReader {
--- a/src/libprotocol/link.cpp
+++ b/src/libprotocol/link.cpp
@@ -13,14 +13,14 @@
     constexpr std::size_t readBufferBytes = std::size_t { 64 } * 1024;
 
     /// The timeouts are checked at an interval that is a fraction of the shortest applicable timeout, within these bounds.
-    constexpr Millis shortestWatch = 100;
-    constexpr Millis longestWatch = 5000;
-    constexpr Millis watchesPerLimit = 8;
+    constexpr Millis minCheckInterval = 100;
+    constexpr Millis maxCheckInterval = 5000;
+    constexpr Millis checksPerTimeout = 8;
 
     /// A check that runs later than scheduled by more than this indicates that the process was paused.
-    constexpr Millis longestWatchDelay = 1000;
+    constexpr Millis maxCheckDelay = 1000;
 
-    LinkError connectReason(const asio::error_code& error)
+    LinkError connectError(const asio::error_code& error)
     {
         if (!error)
             return LinkError::None;
@@ -39,10 +39,10 @@
     , m_timer(m_socket.get_executor())
     , m_options(options)
     , m_startedAt(steady_clock::now())
-    , m_heardAt(m_startedAt)
+    , m_lastReceivedAt(m_startedAt)
     , m_partialSince(m_startedAt)
-    , m_writeSince(m_startedAt)
-    , m_watchedAt(m_startedAt)
+    , m_writeStartedAt(m_startedAt)
+    , m_lastCheckAt(m_startedAt)
 {
 }
 
@@ -53,10 +53,10 @@
     m_socket.set_option(asio::ip::tcp::no_delay(true), ignored);
     m_socket.non_blocking(true, ignored);
     m_startedAt = steady_clock::now();
-    m_heardAt = m_startedAt;
-    m_watchedAt = m_startedAt;
+    m_lastReceivedAt = m_startedAt;
+    m_lastCheckAt = m_startedAt;
     read();
-    watch();
+    scheduleTimeoutCheck();
 }
 
 void Link::send(Bytes frame)
@@ -91,7 +91,7 @@
         m_closeAfterFlush = true;
         return;
     }
-    shut();
+    closeSocket();
 }
 
 // A balancer may have thousands of links, most of them idle, and a read buffer for each would dominate its memory use.
@@ -117,16 +117,16 @@
 
 void Link::handleBytes(std::span<const std::uint8_t> bytes)
 {
-    m_heardAt = steady_clock::now();
+    m_lastReceivedAt = steady_clock::now();
     m_bytesReceived += bytes.size();
     if (!m_reader.hasPartial())
-        m_partialSince = m_heardAt;
+        m_partialSince = m_lastReceivedAt;
     m_reader.append(bytes);
     // A handler that closes the link clears m_handlers; the copy keeps the running function object alive.
     const auto onFrame = m_handlers.onFrame;
     while (const auto view = m_reader.next()) {
-        m_heardFrame = true;
-        m_partialSince = m_heardAt;
+        m_hasReceivedFrame = true;
+        m_partialSince = m_lastReceivedAt;
         if (m_handlers.onFrame)
             onFrame(*this, *view->frame, view->raw);
         if (m_closed)
@@ -143,7 +143,7 @@
     if (m_isWriting || m_output.empty())
         return;
     m_isWriting = true;
-    m_writeSince = steady_clock::now();
+    m_writeStartedAt = steady_clock::now();
     auto self = shared_from_this();
     asio::async_write(m_socket, asio::buffer(m_output.front()), [self](asio::error_code error, std::size_t count) {
         self->m_isWriting = false;
@@ -157,68 +157,68 @@
         self->m_outputBytes -= self->m_output.front().size();
         self->m_output.pop_front();
         if (self->m_output.empty() && self->m_closeAfterFlush) {
-            self->shut();
+            self->closeSocket();
             return;
         }
         self->write();
     });
 }
 
-void Link::watch()
+void Link::scheduleTimeoutCheck()
 {
     auto self = shared_from_this();
-    m_watchPause = watchPause();
-    m_timer.expires_after(std::chrono::milliseconds(m_watchPause));
+    m_checkInterval = checkInterval();
+    m_timer.expires_after(std::chrono::milliseconds(m_checkInterval));
     m_timer.async_wait([self](asio::error_code error) {
         if (error || self->m_closed)
             return;
-        self->forgiveOwnPause();
-        const LinkError reason = self->overdue();
+        self->resetTimeoutsAfterPause();
+        const LinkError reason = self->expiredTimeout();
         if (reason != LinkError::None)
             self->fail(reason);
         else
-            self->watch();
+            self->scheduleTimeoutCheck();
     });
 }
 
 // With thousands of mostly idle links, checking each of them ten times a second would cost more processor time than their
 // heartbeats. The interval is an eighth of the shortest applicable timeout, so that a timeout is detected at most that
 // much late.
-Millis Link::watchPause() const
+Millis Link::checkInterval() const
 {
-    const bool isHandshake = !m_heardFrame;
+    const bool isHandshake = !m_hasReceivedFrame;
     const bool isFrameUnderWay = m_isWriting || m_reader.hasPartial();
-    Millis limit = m_options.silenceLimit > 0 ? m_options.silenceLimit : longestWatch * watchesPerLimit;
+    Millis limit = m_options.silenceLimit > 0 ? m_options.silenceLimit : maxCheckInterval * checksPerTimeout;
     if (isHandshake)
         limit = std::min(limit, m_options.handshakeTimeout);
     if (isFrameUnderWay)
         limit = std::min(limit, m_options.frameTimeout);
-    return std::clamp(limit / watchesPerLimit, shortestWatch, longestWatch);
+    return std::clamp(limit / checksPerTimeout, minCheckInterval, maxCheckInterval);
 }
 
 // After a pause of this process, timers fire before the data waiting on the sockets is read. Every peer would appear
 // silent, and every link would be closed with its received frames unread. Since the delay was on this side, the timeouts
 // start again.
-void Link::forgiveOwnPause()
+void Link::resetTimeoutsAfterPause()
 {
     const auto now = steady_clock::now();
-    if (hasPassed(m_watchedAt, m_watchPause + longestWatchDelay)) {
-        m_heardAt = now;
+    if (hasPassed(m_lastCheckAt, m_checkInterval + maxCheckDelay)) {
+        m_lastReceivedAt = now;
         m_partialSince = now;
-        m_writeSince = now;
+        m_writeStartedAt = now;
     }
-    m_watchedAt = now;
+    m_lastCheckAt = now;
 }
 
-LinkError Link::overdue() const
+LinkError Link::expiredTimeout() const
 {
-    if (!m_heardFrame && hasPassed(m_startedAt, m_options.handshakeTimeout))
+    if (!m_hasReceivedFrame && hasPassed(m_startedAt, m_options.handshakeTimeout))
         return LinkError::HandshakeTimeout;
-    if (m_options.silenceLimit > 0 && hasPassed(m_heardAt, m_options.silenceLimit))
+    if (m_options.silenceLimit > 0 && hasPassed(m_lastReceivedAt, m_options.silenceLimit))
         return LinkError::Silent;
     if (m_reader.hasPartial() && hasPassed(m_partialSince, m_options.frameTimeout))
         return LinkError::SlowFrame;
-    if (m_isWriting && hasPassed(m_writeSince, m_options.frameTimeout))
+    if (m_isWriting && hasPassed(m_writeStartedAt, m_options.frameTimeout))
         return LinkError::SendStalled;
     return LinkError::None;
 }
@@ -228,14 +228,14 @@
     if (m_closed)
         return;
     m_lastReason = reason;
-    shut();
+    closeSocket();
     auto onClosed = std::move(m_handlers.onClosed);
     m_handlers = {};
     if (onClosed)
         onClosed(*this, reason);
 }
 
-void Link::shut()
+void Link::closeSocket()
 {
     m_closed = true;
     asio::error_code ignored;
@@ -292,7 +292,7 @@
             attempt->finish(options, LinkError::ConnectTimeout);
     });
     attempt->socket.async_connect(endpoint, [attempt, options = m_options](asio::error_code error) {
-        attempt->finish(options, connectReason(error));
+        attempt->finish(options, connectError(error));
     });
 }
 
--- a/src/libprotocol/link.h
+++ b/src/libprotocol/link.h
@@ -102,12 +102,12 @@
     void read();
     void handleBytes(std::span<const std::uint8_t> bytes);
     void write();
-    void watch();
+    void scheduleTimeoutCheck();
     void fail(LinkError reason);
-    void shut();
-    Millis watchPause() const;
-    void forgiveOwnPause();
-    LinkError overdue() const;
+    void closeSocket();
+    Millis checkInterval() const;
+    void resetTimeoutsAfterPause();
+    LinkError expiredTimeout() const;
 
     asio::ip::tcp::socket m_socket;
     asio::steady_timer m_timer;
@@ -120,13 +120,13 @@
     std::uint64_t m_bytesSent = 0;
     std::uint64_t m_bytesReceived = 0;
     std::chrono::steady_clock::time_point m_startedAt;
-    std::chrono::steady_clock::time_point m_heardAt;
+    std::chrono::steady_clock::time_point m_lastReceivedAt;
     std::chrono::steady_clock::time_point m_partialSince;
-    std::chrono::steady_clock::time_point m_writeSince;
-    std::chrono::steady_clock::time_point m_watchedAt;
-    Millis m_watchPause = 0;
+    std::chrono::steady_clock::time_point m_writeStartedAt;
+    std::chrono::steady_clock::time_point m_lastCheckAt;
+    Millis m_checkInterval = 0;
     bool m_isWriting = false;
-    bool m_heardFrame = false;
+    bool m_hasReceivedFrame = false;
     bool m_closed = false;
     bool m_closeAfterFlush = false;
     LinkError m_lastReason = LinkError::None;
--- a/src/libprotocol/peermessage.cpp
+++ b/src/libprotocol/peermessage.cpp
@@ -28,7 +28,7 @@
             entry.dataCentre.c_str(), entry.service.c_str(), static_cast<std::uint8_t>(entry.state), entry.slots, entry.epoch);
     }
 
-    std::span<const std::uint8_t> finished(const flatbuffers::FlatBufferBuilder& builder)
+    std::span<const std::uint8_t> finishedBytes(const flatbuffers::FlatBufferBuilder& builder)
     {
         return { builder.GetBufferPointer(), builder.GetSize() };
     }
@@ -96,10 +96,10 @@
     if (!message.denied.empty())
         builder.add_denied(denied);
     m_builder.Finish(builder.Finish());
-    return finished(m_builder);
+    return finishedBytes(m_builder);
 }
 
-std::span<const std::uint8_t> PeerMessageEncoder::encode(const NewsMessage& message)
+std::span<const std::uint8_t> PeerMessageEncoder::encode(const GossipMessage& message)
 {
     m_builder.Clear();
     std::vector<flatbuffers::Offset<wire::PeerEntry>> entries;
@@ -124,7 +124,7 @@
     builder.add_readers(packedReaders);
     builder.add_wants_answer(message.wantsAnswer);
     m_builder.Finish(builder.Finish());
-    return finished(m_builder);
+    return finishedBytes(m_builder);
 }
 
 std::span<const std::uint8_t> PeerMessageEncoder::encode(const DigestsMessage& message)
@@ -138,7 +138,7 @@
     builder.add_wants_answer(message.wantsAnswer);
     builder.add_differs_much(message.differsMuch);
     m_builder.Finish(builder.Finish());
-    return finished(m_builder);
+    return finishedBytes(m_builder);
 }
 
 HolderAnswer holderAnswerOf(wire::PeerKind kind)
@@ -201,7 +201,7 @@
     return packed ? std::vector<std::uint32_t>(packed->begin(), packed->end()) : std::vector<std::uint32_t> {};
 }
 
-std::vector<ReaderHeartbeat> readersOf(const PeerMessage& message)
+std::vector<ReaderHeartbeat> readerHeartbeatsOf(const PeerMessage& message)
 {
     std::vector<ReaderHeartbeat> readers;
     if (const auto* packed = message.table->readers()) {
--- a/src/libprotocol/peermessage.h
+++ b/src/libprotocol/peermessage.h
@@ -55,7 +55,7 @@
 };
 
 /// The content of a gossip message: the sender's versions and digests, and the parts of its state that it shares.
-struct NewsMessage {
+struct GossipMessage {
     ConfigVersion configVersion = 0;
     std::uint64_t digest = 0;
     std::uint64_t agentsDigest = 0;
@@ -80,7 +80,7 @@
 class PeerMessageEncoder {
 public:
     std::span<const std::uint8_t> encode(const FlowMessage&);
-    std::span<const std::uint8_t> encode(const NewsMessage&);
+    std::span<const std::uint8_t> encode(const GossipMessage&);
     std::span<const std::uint8_t> encode(const DigestsMessage&);
 
 private:
@@ -97,7 +97,7 @@
 /// The digests in a DirectoryDigests message.
 std::vector<std::uint32_t> digestsOf(const PeerMessage&);
 /// The heartbeats of the store's readers in a News message.
-std::vector<ReaderHeartbeat> readersOf(const PeerMessage&);
+std::vector<ReaderHeartbeat> readerHeartbeatsOf(const PeerMessage&);
 /// The outages in a News message; empty when it has none.
 std::optional<OutageView> outagesOf(const PeerMessage&);
 
--- a/src/libprotocol/viewcodec.cpp
+++ b/src/libprotocol/viewcodec.cpp
@@ -27,8 +27,8 @@
         packed.latency_target = static_cast<std::uint32_t>(route.latencyTarget);
         packed.priority = route.priority;
         for (const RouteShare& share : route.shares) {
-            const auto place = std::ranges::lower_bound(names, share.service) - names.begin();
-            packed.shares.emplace_back(static_cast<std::uint16_t>(place), share.weight);
+            const auto index = std::ranges::lower_bound(names, share.service) - names.begin();
+            packed.shares.emplace_back(static_cast<std::uint16_t>(index), share.weight);
         }
         return packed;
     }
--- a/src/libruntime/datagramsocket.cpp
+++ b/src/libruntime/datagramsocket.cpp
@@ -15,13 +15,13 @@
     constexpr std::size_t batchSize = 32;
     /// Maximum datagram size: a full packet of 1,236 bytes with the fields of its message, or a gossip message with several
     /// directory entries.
-    constexpr std::size_t maxDatagram = 2048;
+    constexpr std::size_t maxDatagramBytes = 2048;
     /// Socket receive buffer in bytes. Holds datagrams while this process is not scheduled: more than a tenth of a second at
     /// 10 Mbit/s.
-    constexpr int receiveBuffer = 1024 * 1024;
+    constexpr int receiveBufferBytes = 1024 * 1024;
 
     struct Slot {
-        std::array<std::uint8_t, maxDatagram> bytes;
+        std::array<std::uint8_t, maxDatagramBytes> bytes;
         sockaddr_in address;
         iovec vector;
     };
@@ -31,7 +31,7 @@
         {
             for (std::size_t index = 0; index < batchSize; ++index) {
                 Slot& slot = slots[index];
-                slot.vector = { .iov_base = slot.bytes.data(), .iov_len = maxDatagram };
+                slot.vector = { .iov_base = slot.bytes.data(), .iov_len = maxDatagramBytes };
                 messages[index].msg_hdr = {};
                 messages[index].msg_hdr.msg_name = &slot.address;
                 messages[index].msg_hdr.msg_iov = &slot.vector;
@@ -72,24 +72,24 @@
                 return false;
             // A failure is ignored: with a smaller buffer only more datagrams are lost while this process is not scheduled.
             asio::error_code ignored;
-            m_socket.set_option(asio::socket_base::receive_buffer_size(receiveBuffer), ignored);
+            m_socket.set_option(asio::socket_base::receive_buffer_size(receiveBufferBytes), ignored);
             waitForData();
             return true;
         }
 
         void send(std::span<const std::uint8_t> datagram, const asio::ip::udp::endpoint& receiver) override
         {
-            if (datagram.size() > maxDatagram) {
+            if (datagram.size() > maxDatagramBytes) {
                 ++m_counts.sendFailed;
                 return;
             }
-            if (m_out.used == batchSize)
+            if (m_outputBatch.used == batchSize)
                 flush();
-            Slot& slot = m_out.slots[m_out.used++];
+            Slot& slot = m_outputBatch.slots[m_outputBatch.used++];
             std::memcpy(slot.bytes.data(), datagram.data(), datagram.size());
             slot.vector.iov_len = datagram.size();
             std::memcpy(&slot.address, receiver.data(), sizeof(slot.address));
-            if (!m_isInBatch)
+            if (!m_isHandlingBatch)
                 scheduleFlush();
         }
 
@@ -115,23 +115,23 @@
 
         void readBatch()
         {
-            for (auto& message : m_in.messages)
+            for (auto& message : m_inputBatch.messages)
                 message.msg_hdr.msg_namelen = sizeof(sockaddr_in);
             // An error such as ECONNREFUSED reports that an earlier datagram was not accepted by its receiver; reading
             // continues.
-            const int count = recvmmsg(m_socket.native_handle(), m_in.messages.data(), batchSize, MSG_DONTWAIT, nullptr);
+            const int count = recvmmsg(m_socket.native_handle(), m_inputBatch.messages.data(), batchSize, MSG_DONTWAIT, nullptr);
             if (count <= 0)
                 return;
             m_counts.received += static_cast<std::uint64_t>(count);
-            m_isInBatch = true;
+            m_isHandlingBatch = true;
             const auto isAlive = m_isAlive;
             for (int index = 0; index < count && *isAlive; ++index) {
                 const auto position = static_cast<std::size_t>(index);
-                m_handler({ m_in.slots[position].bytes.data(), m_in.messages[position].msg_len }, toEndpoint(m_in.slots[position].address));
+                m_handler({ m_inputBatch.slots[position].bytes.data(), m_inputBatch.messages[position].msg_len }, toEndpoint(m_inputBatch.slots[position].address));
             }
             if (!*isAlive)
                 return;
-            m_isInBatch = false;
+            m_isHandlingBatch = false;
             flush();
         }
 
@@ -151,10 +151,10 @@
         void flush()
         {
             std::size_t done = 0;
-            while (done < m_out.used) {
-                for (std::size_t index = done; index < m_out.used; ++index)
-                    m_out.messages[index].msg_hdr.msg_namelen = sizeof(sockaddr_in);
-                const int count = sendmmsg(m_socket.native_handle(), m_out.messages.data() + done, static_cast<unsigned>(m_out.used - done), MSG_DONTWAIT);
+            while (done < m_outputBatch.used) {
+                for (std::size_t index = done; index < m_outputBatch.used; ++index)
+                    m_outputBatch.messages[index].msg_hdr.msg_namelen = sizeof(sockaddr_in);
+                const int count = sendmmsg(m_socket.native_handle(), m_outputBatch.messages.data() + done, static_cast<unsigned>(m_outputBatch.used - done), MSG_DONTWAIT);
                 if (count <= 0) {
                     // The first remaining datagram could not be sent; the others may have different receivers.
                     ++m_counts.sendFailed;
@@ -164,17 +164,17 @@
                 m_counts.sent += static_cast<std::uint64_t>(count);
                 done += static_cast<std::size_t>(count);
             }
-            m_out.used = 0;
+            m_outputBatch.used = 0;
         }
 
         asio::io_context& m_context;
         asio::ip::udp::socket m_socket;
         Handler m_handler;
         std::shared_ptr<bool> m_isAlive = std::make_shared<bool>(true);
-        Batch m_in;
-        Batch m_out;
+        Batch m_inputBatch;
+        Batch m_outputBatch;
         DatagramCounts m_counts;
-        bool m_isInBatch = false;
+        bool m_isHandlingBatch = false;
         bool m_isFlushScheduled = false;
     };
 
--- a/src/libruntime/events.cpp
+++ b/src/libruntime/events.cpp
@@ -129,7 +129,7 @@
     struct LogState {
         std::shared_ptr<spdlog::logger> logger;
         LogFormat format = LogFormat::Text;
-        LineBudget flowLines;
+        LogRateLimiter flowLineLimiter;
     };
 
     std::shared_ptr<spdlog::logger> makeLogger(std::string_view name, LogFormat format)
@@ -283,11 +283,11 @@
 
 void logFlowEvent(Event event, const FlowKey& flow, std::initializer_list<EventField> fields)
 {
-    LineBudget& budget = currentLog().flowLines;
-    if (!budget.take(unixMillis()))
+    LogRateLimiter& limiter = currentLog().flowLineLimiter;
+    if (!limiter.tryTakeToken(unixMillis()))
         return;
-    if (const std::uint64_t leftOut = budget.takeLeftOut(); leftOut > 0)
-        writeEvent(Event::LinesLeftOut, nullptr, { { "lines", leftOut } });
+    if (const std::uint64_t omitted = limiter.takeOmittedCount(); omitted > 0)
+        writeEvent(Event::LinesLeftOut, nullptr, { { "lines", omitted } });
     writeEvent(event, &flow, fields);
 }
 
--- a/src/libruntime/logsink.cpp
+++ b/src/libruntime/logsink.cpp
@@ -8,28 +8,28 @@
 
 namespace {
 
-    constexpr double linesPerMilli = 0.1;
-    constexpr double mostLines = 200;
+    constexpr double tokensPerMilli = 0.1;
+    constexpr double maxTokens = 200;
 
 }
 
-bool LineBudget::take(std::uint64_t nowMillis)
+bool LogRateLimiter::tryTakeToken(std::uint64_t nowMillis)
 {
     // The wall clock may jump back; the bucket is then not refilled before the next line.
     const std::uint64_t passed = nowMillis > m_refilledAt ? nowMillis - m_refilledAt : 0;
     m_refilledAt = nowMillis;
-    m_tokens = std::min(mostLines, m_tokens + linesPerMilli * static_cast<double>(passed));
+    m_tokens = std::min(maxTokens, m_tokens + tokensPerMilli * static_cast<double>(passed));
     if (m_tokens < 1) {
-        ++m_leftOut;
+        ++m_omitted;
         return false;
     }
     m_tokens -= 1;
     return true;
 }
 
-std::uint64_t LineBudget::takeLeftOut()
+std::uint64_t LogRateLimiter::takeOmittedCount()
 {
-    return std::exchange(m_leftOut, 0);
+    return std::exchange(m_omitted, 0);
 }
 
 NonBlockingSink::NonBlockingSink()
--- a/src/libruntime/logsink.h
+++ b/src/libruntime/logsink.h
@@ -8,16 +8,16 @@
 
 /// Token bucket that limits the log lines about single flows. With thousands of openings a second and a line for each, the
 /// lines would cost more processor time than the packets. Omitted lines are counted, and their number is logged.
-class LineBudget {
+class LogRateLimiter {
 public:
-    bool take(std::uint64_t nowMillis);
+    bool tryTakeToken(std::uint64_t nowMillis);
     /// Returns the number of lines omitted since the last call, and resets it.
-    std::uint64_t takeLeftOut();
+    std::uint64_t takeOmittedCount();
 
 private:
     double m_tokens = 200;
     std::uint64_t m_refilledAt = 0;
-    std::uint64_t m_leftOut = 0;
+    std::uint64_t m_omitted = 0;
 };
 
 /// Writes lines to standard output without blocking: lines for which the pipe has no space are dropped.
--- a/src/libruntime/metrics.cpp
+++ b/src/libruntime/metrics.cpp
@@ -10,8 +10,8 @@
 namespace {
 
     /// Range from 50 microseconds to 10 minutes in steps of about 11 %, which bounds the error of a percentile.
-    constexpr double smallestMillis = 0.05;
-    constexpr double largestMillis = 600000;
+    constexpr double minMillis = 0.05;
+    constexpr double maxMillis = 600000;
     constexpr int bucketCount = 160;
     /// Only every eighth bound is exposed, so that a histogram has 20 series instead of 160.
     constexpr int bucketsPerExposed = 8;
@@ -40,7 +40,7 @@
     double upperBound(int bucket) const { return bucket < bucketCount ? histogram.axis().value(bucket + 1) : largest; }
 
     Histogram histogram = boost::histogram::make_histogram_with(
-        boost::histogram::dense_storage<std::uint64_t>(), Axis(bucketCount, smallestMillis, largestMillis));
+        boost::histogram::dense_storage<std::uint64_t>(), Axis(bucketCount, minMillis, maxMillis));
     std::uint64_t count = 0;
     double sum = 0;
     double largest = 0;
@@ -58,7 +58,7 @@
     if (!std::isfinite(millis) || millis < 0)
         return;
     // 0 has no logarithm and so no bucket; such samples go to the underflow bucket.
-    m_d->histogram(std::max(millis, smallestMillis / 2));
+    m_d->histogram(std::max(millis, minMillis / 2));
     ++m_d->count;
     m_d->sum += millis;
     m_d->largest = std::max(m_d->largest, millis);
@@ -69,11 +69,11 @@
     return m_d->count;
 }
 
-double LatencyHistogram::percentile(double part) const
+double LatencyHistogram::percentile(double quantile) const
 {
     if (m_d->count == 0)
         return 0;
-    const double wanted = std::ceil(std::clamp(part, 0.0, 1.0) * static_cast<double>(m_d->count));
+    const double wanted = std::ceil(std::clamp(quantile, 0.0, 1.0) * static_cast<double>(m_d->count));
     const auto rank = std::max<std::uint64_t>(static_cast<std::uint64_t>(wanted), 1);
     std::uint64_t seen = 0;
     for (int bucket = -1; bucket < bucketCount; ++bucket) {
--- a/src/libruntime/metrics.h
+++ b/src/libruntime/metrics.h
@@ -45,7 +45,7 @@
     void record(double millis);
     std::uint64_t count() const;
     /// The upper bound of the bucket that contains the given quantile (0.99 for the 99th percentile); 0 without samples.
-    double percentile(double part) const;
+    double percentile(double quantile) const;
 
     /// Appends buckets, sum and count in the Prometheus text exposition format.
     void expose(std::string& out, std::string_view name, std::string_view help) const;
--- a/src/libruntime/supervisor.cpp
+++ b/src/libruntime/supervisor.cpp
@@ -45,13 +45,13 @@
     }
 
     Child* find(const std::string& childName) const;
-    Child* findStart(std::uint64_t start) const;
+    Child* findByStart(std::uint64_t start) const;
     void start(Child& child);
     FailureHandler failureHandler(std::uint64_t start);
     void handleFailure(std::uint64_t start, ChildFailure reason);
-    bool isBeyondLimit(Child& child, Millis now) const;
+    bool hasTooManyFailures(Child& child, Millis now) const;
     void giveUp(const Child& child);
-    void restartLater(Child& child, Millis now);
+    void scheduleRestart(Child& child, Millis now);
     Millis jittered(Millis delay, double jitter);
     void destroyLater(std::unique_ptr<Supervised> ended);
     void appendStatus(const std::string& prefix, std::vector<ChildStatus>& out) const;
@@ -75,7 +75,7 @@
     return found == children.end() ? nullptr : found->get();
 }
 
-Child* Supervisor::Private::findStart(std::uint64_t start) const
+Child* Supervisor::Private::findByStart(std::uint64_t start) const
 {
     const auto found = std::ranges::find_if(children, [&](const auto& child) { return child->start == start; });
     return found == children.end() ? nullptr : found->get();
@@ -93,7 +93,7 @@
         failureHandler(start)(ChildFailure::Internal);
         return;
     }
-    if (Child* stillThere = findStart(start))
+    if (Child* stillThere = findByStart(start))
         stillThere->running = std::move(made);
     else
         destroyLater(std::move(made));
@@ -115,7 +115,7 @@
 
 void Supervisor::Private::handleFailure(std::uint64_t start, ChildFailure reason)
 {
-    Child* child = findStart(start);
+    Child* child = findByStart(start);
     if (!child)
         return;
     const Millis now = clock.now();
@@ -123,13 +123,13 @@
     child->lastReason = reason;
     child->failures.push_back(now);
     destroyLater(std::move(child->running));
-    if (isBeyondLimit(*child, now) && onGiveUp)
+    if (hasTooManyFailures(*child, now) && onGiveUp)
         giveUp(*child);
     else
-        restartLater(*child, now);
+        scheduleRestart(*child, now);
 }
 
-bool Supervisor::Private::isBeyondLimit(Child& child, Millis now) const
+bool Supervisor::Private::hasTooManyFailures(Child& child, Millis now) const
 {
     const RestartPolicy& policy = child.spec.policy;
     while (!child.failures.empty() && now - child.failures.front() > policy.window)
@@ -150,11 +150,11 @@
     onGiveUp(ChildFailure::ChildGaveUp);
 }
 
-void Supervisor::Private::restartLater(Child& child, Millis now)
+void Supervisor::Private::scheduleRestart(Child& child, Millis now)
 {
     const RestartPolicy& policy = child.spec.policy;
-    const bool wasSteady = now - child.startedAt >= policy.steadyAfter;
-    if (wasSteady || child.nextDelay == 0)
+    const bool wasStable = now - child.startedAt >= policy.stableAfter;
+    if (wasStable || child.nextDelay == 0)
         child.nextDelay = std::max<Millis>(policy.firstDelay, 1);
     const Millis delay = jittered(child.nextDelay, policy.jitter);
     child.nextDelay = std::min(child.nextDelay * 2, std::max(policy.maxDelay, policy.firstDelay));
@@ -240,7 +240,7 @@
     m_d->destroyLater(std::move(removed->running));
 }
 
-void Supervisor::endAll()
+void Supervisor::destroyAll()
 {
     m_d->stop();
 }
--- a/src/libruntime/supervisor.h
+++ b/src/libruntime/supervisor.h
@@ -48,10 +48,10 @@
 
 struct RestartPolicy {
     /// Delay before the first restart and maximum delay, in milliseconds. The delay doubles with each failure and is reset
-    /// after the child has run for `steadyAfter` milliseconds.
+    /// after the child has run for `stableAfter` milliseconds.
     Millis firstDelay = 100;
     Millis maxDelay = 3000;
-    Millis steadyAfter = 10000;
+    Millis stableAfter = 10000;
     /// Fraction of the delay that is random, so that children that failed together are not restarted together.
     double jitter = 0.5;
     /// Number of failures within `window` milliseconds at which the supervisor itself fails; 0 means no limit.
@@ -85,7 +85,7 @@
     bool contains(const std::string& name) const;
 
     /// Destroys all children in reverse order. For an owner that its children call during their destruction.
-    void endAll();
+    void destroyAll();
 
     /// The status of all descendants.
     std::vector<ChildStatus> status() const;
--- a/tests/caller/testcaller.cpp
+++ b/tests/caller/testcaller.cpp
@@ -104,7 +104,7 @@
         if (packet->payload())
             flow.endpoint.receive(packet->sequence(), Bytes(packet->payload()->begin(), packet->payload()->end()));
         while (const auto payload = flow.endpoint.takeDelivered())
-            script(packet->flow(), *readMessage(*payload));
+            script(packet->flow(), *decodeMessage(*payload));
         this->packet(packet->flow(), wire::PacketKind::Ack);
     }
 
--- a/tests/caller/testrequestcall.cpp
+++ b/tests/caller/testrequestcall.cpp
@@ -21,7 +21,7 @@
         head.body_length = body.size();
         head.body_hash = bodyHashOf(body);
         const Bytes bytes = encodeMessageOf(head);
-        assembly.takeHead(*readMessage(bytes)->body_as_AnswerHead());
+        assembly.takeHead(*decodeMessage(bytes)->body_as_AnswerHead());
     }
 
     std::string chunk(std::uint64_t offset, std::string_view text)
@@ -30,7 +30,7 @@
         chunk.offset = offset;
         chunk.bytes.assign(text.begin(), text.end());
         const Bytes bytes = encodeMessageOf(std::move(chunk));
-        return std::string(assembly.takeChunk(*readMessage(bytes)->body_as_AnswerChunk()));
+        return std::string(assembly.takeChunk(*decodeMessage(bytes)->body_as_AnswerChunk()));
     }
 
     AnswerAssembly assembly;
@@ -52,12 +52,12 @@
         const auto spec = std::make_shared<const RequestSpec>(RequestSpec { .method = "POST", .key = "k", .body = std::string(2 * maxChunkBytes + 5, 'x'), .idempotent = false });
         RequestSender sender(3, spec, 900, { { .upstream = 8, .incarnation = 4 } });
         const Bytes head = *sender.next();
-        const auto* message = readMessage(head)->body_as_RequestHead();
+        const auto* message = decodeMessage(head)->body_as_RequestHead();
         CPPUNIT_ASSERT_EQUAL(std::uint64_t { 8 }, message->earlier()->Get(0)->upstream());
         CPPUNIT_ASSERT_EQUAL(bodyHashOf(spec->body), message->body_hash());
         std::size_t total = 0;
         while (const auto bytes = sender.next()) {
-            const auto* chunk = readMessage(*bytes)->body_as_BodyChunk();
+            const auto* chunk = decodeMessage(*bytes)->body_as_BodyChunk();
             CPPUNIT_ASSERT_EQUAL(std::uint64_t { total }, chunk->offset());
             total += chunk->bytes()->size();
             CPPUNIT_ASSERT_EQUAL(total == spec->body.size(), sender.isDone());
--- a/tests/daemon/testbadinput.cpp
+++ b/tests/daemon/testbadinput.cpp
@@ -157,7 +157,7 @@
                 continue;
             const std::unique_ptr<wire::FrameT> unpacked(view->frame->UnPack());
             const auto* taken = unpacked->body.AsPacket();
-            if (taken && !taken->payload.empty() && readMessage(taken->payload))
+            if (taken && !taken->payload.empty() && decodeMessage(taken->payload))
                 ++read;
         }
         CPPUNIT_ASSERT(read > 0);
--- a/tests/fuzz/fuzzpacket.cpp
+++ b/tests/fuzz/fuzzpacket.cpp
@@ -18,13 +18,13 @@
     if (!head)
         return 0;
     trustAdapter().clearMarks(packet);
-    const std::vector<std::uint8_t> bare = packet;
+    const std::vector<std::uint8_t> unmarked = packet;
     constexpr std::uint32_t mark = 77;
     trustAdapter().setMark(packet, mark);
     if (trustAdapter().decodePacket(packet, error)->mark != mark)
         std::abort();
     trustAdapter().clearMarks(packet);
-    if (packet != bare)
+    if (packet != unmarked)
         std::abort();
     return 0;
 }
--- a/tests/fuzz/fuzzpeer.cpp
+++ b/tests/fuzz/fuzzpeer.cpp
@@ -13,7 +13,7 @@
     if (message) {
         toString(message->flow);
         entriesOf(*message);
-        readersOf(*message);
+        readerHeartbeatsOf(*message);
         digestsOf(*message);
         outagesOf(*message);
         holderAnswerOf(message->kind);
--- a/tests/http/testhttp.cpp
+++ b/tests/http/testhttp.cpp
@@ -42,11 +42,11 @@
     CPPUNIT_TEST_SUITE(TestHttp);
     CPPUNIT_TEST(badRequestsReachNoHandler);
     CPPUNIT_TEST(badResponsesAreErrors);
-    CPPUNIT_TEST(refusedConnectionDidNotReach);
+    CPPUNIT_TEST(refusedConnectionReachesNoServer);
     CPPUNIT_TEST(streamPausesAndResumes);
-    CPPUNIT_TEST(cancelledCallIsSilent);
+    CPPUNIT_TEST(cancelledCallInvokesNoHandler);
     CPPUNIT_TEST(surplusConnectionIsClosed);
-    CPPUNIT_TEST(forgottenRequestIsClosed);
+    CPPUNIT_TEST(unansweredRequestIsClosed);
     CPPUNIT_TEST(lineBreakInHeaderIsRefused);
     CPPUNIT_TEST_SUITE_END();
 
@@ -61,13 +61,13 @@
         CPPUNIT_ASSERT(m_server);
     }
 
-    struct Ended {
+    struct CallResult {
         bool done = false;
         std::optional<HttpResponse> response;
         HttpOutcome outcome;
     };
 
-    HttpCall::Handlers collect(Ended& ended)
+    HttpCall::Handlers collect(CallResult& ended)
     {
         HttpCall::Handlers handlers;
         handlers.onDone = [&ended](std::optional<HttpResponse> response, const HttpOutcome& outcome) {
@@ -111,7 +111,7 @@
             CPPUNIT_ASSERT_EQUAL_MESSAGE(testCase.name, testCase.answer, peer.received.substr(0, 12));
             CPPUNIT_ASSERT_EQUAL_MESSAGE(testCase.name, 0U, m_handled);
         }
-        Ended ended;
+        CallResult ended;
         const auto call = startHttpCall(m_context, m_server->localEndpoint(), {}, {}, collect(ended));
         runUntil(m_context, [&ended] { return ended.done; });
         CPPUNIT_ASSERT_EQUAL(std::string("fine"), ended.response->body);
@@ -145,7 +145,7 @@
         for (const Case& testCase : cases) {
             RawPeer peer(m_context);
             acceptor.async_accept(peer.socket, [&](asio::error_code) { peer.run(testCase.bytes, testCase.closeAfter); });
-            Ended ended;
+            CallResult ended;
             const HttpCallOptions options { .timeout = 400, .silenceLimit = 100, .maxBodyBytes = 100 };
             const auto call = startHttpCall(m_context, acceptor.local_endpoint(), {}, options, collect(ended));
             runUntil(m_context, [&] { return ended.done && peer.ended; });
@@ -157,12 +157,12 @@
         }
     }
 
-    void refusedConnectionDidNotReach()
+    void refusedConnectionReachesNoServer()
     {
         asio::ip::tcp::acceptor acceptor(m_context, anyPort);
         const auto endpoint = acceptor.local_endpoint();
         acceptor.close();
-        Ended ended;
+        CallResult ended;
         const auto call = startHttpCall(m_context, endpoint, {}, {}, collect(ended));
         runUntil(m_context, [&ended] { return ended.done; });
         CPPUNIT_ASSERT(ended.outcome.error == HttpError::ConnectFailed);
@@ -181,7 +181,7 @@
                 responder->writeChunk(std::string(chunkBytes, 'x'));
             responder->endStream();
         });
-        Ended ended;
+        CallResult ended;
         std::size_t received = 0;
         std::shared_ptr<HttpCall> call;
         auto handlers = collect(ended);
@@ -201,7 +201,7 @@
         CPPUNIT_ASSERT(ended.response && ended.response->body.empty());
     }
 
-    void cancelledCallIsSilent()
+    void cancelledCallInvokesNoHandler()
     {
         bool gone = false;
         std::shared_ptr<HttpResponder> waiting;
@@ -209,9 +209,9 @@
             waiting = responder;
             responder->beginStream(200, {});
             responder->writeChunk("part");
-            responder->setOnGone([&gone] { gone = true; });
+            responder->setOnDisconnect([&gone] { gone = true; });
         });
-        Ended ended;
+        CallResult ended;
         std::shared_ptr<HttpCall> call;
         auto handlers = collect(ended);
         unsigned chunks = 0;
@@ -232,10 +232,10 @@
     {
         std::shared_ptr<HttpResponder> first;
         serve({ .maxConnections = 1 }, [&first](const HttpRequest&, const std::shared_ptr<HttpResponder>& responder) { first = responder; });
-        Ended kept;
+        CallResult kept;
         const auto call = startHttpCall(m_context, m_server->localEndpoint(), {}, {}, collect(kept));
         runUntil(m_context, [&first] { return first != nullptr; });
-        Ended surplus;
+        CallResult surplus;
         const auto second = startHttpCall(m_context, m_server->localEndpoint(), {}, {}, collect(surplus));
         runUntil(m_context, [&surplus] { return surplus.done; });
         CPPUNIT_ASSERT(!surplus.response && !kept.done);
@@ -244,10 +244,10 @@
         CPPUNIT_ASSERT_EQUAL(std::string("first"), kept.response->body);
     }
 
-    void forgottenRequestIsClosed()
+    void unansweredRequestIsClosed()
     {
         serve({}, [](const HttpRequest&, const std::shared_ptr<HttpResponder>&) {});
-        Ended ended;
+        CallResult ended;
         const auto call = startHttpCall(m_context, m_server->localEndpoint(), {}, {}, collect(ended));
         runUntil(m_context, [&ended] { return ended.done; });
         CPPUNIT_ASSERT(ended.outcome.error == HttpError::ConnectionLost);
@@ -256,7 +256,7 @@
     void lineBreakInHeaderIsRefused()
     {
         serve({}, [this](const HttpRequest&, const std::shared_ptr<HttpResponder>&) { ++m_handled; });
-        Ended ended;
+        CallResult ended;
         const HttpRequest request { .headers = { { .name = "X", .value = "a\r\n\r\nGET /other HTTP/1.1" } } };
         const auto call = startHttpCall(m_context, m_server->localEndpoint(), request, {}, collect(ended));
         runUntil(m_context, [&ended] { return ended.done; });
--- a/tests/http/testmessagereader.cpp
+++ b/tests/http/testmessagereader.cpp
@@ -8,8 +8,8 @@
 
 class TestMessageReader : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(TestMessageReader);
-    CPPUNIT_TEST(noPartOfAMessageIsAWholeOne);
-    CPPUNIT_TEST(damagedMessagesNeverGrowBeyondTheLimit);
+    CPPUNIT_TEST(partialMessageIsNotComplete);
+    CPPUNIT_TEST(corruptedMessagesStayWithinLimit);
     CPPUNIT_TEST(targetsAndHeadersAreRead);
     CPPUNIT_TEST_SUITE_END();
 
@@ -26,7 +26,7 @@
 
     // A message is split at every position. The first part alone must not count as complete, and both parts together must
     // give the same message as the whole.
-    void noPartOfAMessageIsAWholeOne()
+    void partialMessageIsNotComplete()
     {
         for (const std::string& message : messages()) {
             for (std::size_t cut = 0; cut <= message.size(); ++cut) {
@@ -41,7 +41,7 @@
         }
     }
 
-    void damagedMessagesNeverGrowBeyondTheLimit()
+    void corruptedMessagesStayWithinLimit()
     {
         std::mt19937 random(11);
         for (unsigned round = 0; round < 20000; ++round) {
--- a/tests/packets/testpeermessage.cpp
+++ b/tests/packets/testpeermessage.cpp
@@ -39,7 +39,7 @@
     {
         PeerMessageEncoder encoder;
         const OutageView outages { .revision = 8, .out = { "south" } };
-        const auto bytes = encoder.encode(NewsMessage { .configVersion = 3, .digest = 5, .outages = &outages, .entries = { entry() }, .wantsAnswer = true });
+        const auto bytes = encoder.encode(GossipMessage { .configVersion = 3, .digest = 5, .outages = &outages, .entries = { entry() }, .wantsAnswer = true });
         FrameError error = FrameError::None;
         const auto message = decodePeerMessage(bytes, error);
         CPPUNIT_ASSERT(message && message->kind == wire::PeerKind::News && message->table->wants_answer());
--- a/tests/protocol/testflowendpoint.cpp
+++ b/tests/protocol/testflowendpoint.cpp
@@ -7,8 +7,8 @@
 
 class TestFlowEndpoint : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(TestFlowEndpoint);
-    CPPUNIT_TEST(lossyPathDeliversAllOnceInOrder);
-    CPPUNIT_TEST(fullQueueTakesNothing);
+    CPPUNIT_TEST(lossyPathDeliversEachPayloadOnceInOrder);
+    CPPUNIT_TEST(fullQueueRejectsPayloads);
     CPPUNIT_TEST(acknowledgementOfUnsentIsIgnored);
     CPPUNIT_TEST_SUITE_END();
 
@@ -20,7 +20,7 @@
     // When one of three balancers fails during an upload, packets of the flow are lost, duplicated and reordered. The test
     // drops every third segment, delivers some twice and shuffles the rest. Each payload must be delivered exactly once and
     // in order; otherwise the uploaded data is corrupted.
-    void lossyPathDeliversAllOnceInOrder()
+    void lossyPathDeliversEachPayloadOnceInOrder()
     {
         std::mt19937 random(7);
         FlowEndpoint sender;
@@ -33,11 +33,11 @@
             auto due = sender.takeDue(now);
             std::shuffle(due.begin(), due.end(), random);
             for (const auto& segment : due) {
-                const auto luck = random() % 6;
-                if (luck < 2)
+                const auto outcome = random() % 6;
+                if (outcome < 2)
                     continue;
                 receiver.receive(segment.sequence, *segment.payload);
-                if (luck == 2)
+                if (outcome == 2)
                     receiver.receive(segment.sequence, *segment.payload);
             }
             while (const auto payload = receiver.takeDelivered())
@@ -49,7 +49,7 @@
         CPPUNIT_ASSERT(sender.resent() > 0);
     }
 
-    void fullQueueTakesNothing()
+    void fullQueueRejectsPayloads()
     {
         FlowEndpoint sender({ .queueSegments = 2 });
         CPPUNIT_ASSERT(sender.send({ 1 }));
--- a/tests/protocol/testframing.cpp
+++ b/tests/protocol/testframing.cpp
@@ -7,7 +7,7 @@
 class TestFraming : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(TestFraming);
     CPPUNIT_TEST(frameArrivesByteByByte);
-    CPPUNIT_TEST(garbageIsRefusedOnce);
+    CPPUNIT_TEST(malformedFrameEndsReading);
     CPPUNIT_TEST(oversizedFrameIsRefusedBeforeItArrives);
     CPPUNIT_TEST_SUITE_END();
 
@@ -33,7 +33,7 @@
         CPPUNIT_ASSERT(!reader.hasPartial());
     }
 
-    void garbageIsRefusedOnce()
+    void malformedFrameEndsReading()
     {
         FrameReader reader;
         Bytes bytes = heartbeat();
--- a/tests/runtime/testmetrics.cpp
+++ b/tests/runtime/testmetrics.cpp
@@ -19,9 +19,9 @@
         CPPUNIT_ASSERT_EQUAL(0.0, histogram.percentile(0.99));
         for (int sample = 1; sample <= 1000; ++sample)
             histogram.record(sample);
-        for (const double part : { 0.5, 0.9, 0.99, 1.0 }) {
-            CPPUNIT_ASSERT(histogram.percentile(part) >= part * 1000);
-            CPPUNIT_ASSERT(histogram.percentile(part) <= part * 1000 * 1.12);
+        for (const double quantile : { 0.5, 0.9, 0.99, 1.0 }) {
+            CPPUNIT_ASSERT(histogram.percentile(quantile) >= quantile * 1000);
+            CPPUNIT_ASSERT(histogram.percentile(quantile) <= quantile * 1000 * 1.12);
         }
     }
 
--- a/tests/runtime/testsettings.cpp
+++ b/tests/runtime/testsettings.cpp
@@ -17,10 +17,10 @@
 
 class TestSettings : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(TestSettings);
-    CPPUNIT_TEST(goodFilesAreRead);
+    CPPUNIT_TEST(validSettingsAreParsed);
     CPPUNIT_TEST(everyFaultIsListed);
-    CPPUNIT_TEST(endpointsNeedNumberAndPort);
-    CPPUNIT_TEST(packetRolesNeedTheirFields);
+    CPPUNIT_TEST(endpointsNeedAddressAndPort);
+    CPPUNIT_TEST(packetRolesRequireTheirFields);
     CPPUNIT_TEST_SUITE_END();
 
     static json balancer()
@@ -37,7 +37,7 @@
         return document;
     }
 
-    void goodFilesAreRead()
+    void validSettingsAreParsed()
     {
         std::vector<Fault> faults;
         const auto settings = parseSettings(agent().dump(), faults);
@@ -96,7 +96,7 @@
         }
     }
 
-    void endpointsNeedNumberAndPort()
+    void endpointsNeedAddressAndPort()
     {
         for (const char* text : { "127.0.0.1:80", "[::1]:80", "10.0.0.1:0" })
             CPPUNIT_ASSERT_MESSAGE(text, parseEndpoint(text));
@@ -104,7 +104,7 @@
             CPPUNIT_ASSERT_MESSAGE(text, !parseEndpoint(text));
     }
 
-    void packetRolesNeedTheirFields()
+    void packetRolesRequireTheirFields()
     {
         const std::string common = R"("name":"b","dataCentre":"north","listen":"10.0.0.1:7720","admin":"10.0.0.1:9464","platform":"10.0.0.2:80")";
         const std::string balancer = R"({"role":"packetBalancer",)" + common + R"(,"packets":{"ingress":"10.0.0.1:8172","ready":"10.0.0.1:8167","seeds":["10.0.0.3:1"],"addressReuseSeconds":2.5,"linkMegabits":10}})";
--- a/tests/runtime/testsupervisor.cpp
+++ b/tests/runtime/testsupervisor.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// Counts the children created in one test and keeps the last failure handler.
-struct Record {
+struct ChildRecord {
     int made = 0;
     int alive = 0;
     std::vector<std::chrono::steady_clock::time_point> madeAt;
@@ -18,7 +18,7 @@
 
 class FakeChild : public Supervised {
 public:
-    explicit FakeChild(Record& record)
+    explicit FakeChild(ChildRecord& record)
         : m_record(record)
     {
         ++m_record.made;
@@ -35,10 +35,10 @@
     }
 
 private:
-    Record& m_record;
+    ChildRecord& m_record;
 };
 
-constexpr RestartPolicy quick { .firstDelay = 1, .maxDelay = 4, .steadyAfter = 60000, .jitter = 0 };
+constexpr RestartPolicy quickRestarts { .firstDelay = 1, .maxDelay = 4, .stableAfter = 60000, .jitter = 0 };
 
 }
 
@@ -47,12 +47,12 @@
     CPPUNIT_TEST(failedChildIsRestartedAlone);
     CPPUNIT_TEST(delayGrowsToItsLimitWithJitter);
     CPPUNIT_TEST(tooManyFailuresEscalate);
-    CPPUNIT_TEST(removedChildStaysAway);
+    CPPUNIT_TEST(removedChildIsNotRestarted);
     CPPUNIT_TEST_SUITE_END();
 
     asio::io_context m_context;
 
-    static ChildSpec spec(const std::string& name, Record& record, RestartPolicy policy = quick)
+    static ChildSpec spec(const std::string& name, ChildRecord& record, RestartPolicy policy = quickRestarts)
     {
         return { .name = name, .make = [&record](const FailureHandler& onFailure) {
                     record.fail = onFailure;
@@ -74,8 +74,8 @@
     // not be destroyed while the call that reported the failure is still running in it.
     void failedChildIsRestartedAlone()
     {
-        Record broken;
-        Record other;
+        ChildRecord broken;
+        ChildRecord other;
         Supervisor root(m_context, "root");
         root.add(spec("broken", broken));
         root.add(spec("other", other));
@@ -94,9 +94,9 @@
 
     void delayGrowsToItsLimitWithJitter()
     {
-        Record record;
+        ChildRecord record;
         Supervisor root(m_context, "root");
-        auto policy = quick;
+        auto policy = quickRestarts;
         policy.firstDelay = 8;
         policy.maxDelay = 32;
         policy.jitter = 0.5;
@@ -104,25 +104,25 @@
                       onFailure(ChildFailure::BindFailed);
                       return std::make_unique<FakeChild>(record); }, .policy = policy });
         runUntil([&] { return record.made == 6; });
-        constexpr std::array<int, 5> leastMillis { 4, 8, 16, 16, 16 };
-        for (std::size_t index = 0; index < leastMillis.size(); ++index)
-            CPPUNIT_ASSERT(record.madeAt[index + 1] - record.madeAt[index] >= std::chrono::milliseconds(leastMillis.at(index)));
+        constexpr std::array<int, 5> minDelayMillis { 4, 8, 16, 16, 16 };
+        for (std::size_t index = 0; index < minDelayMillis.size(); ++index)
+            CPPUNIT_ASSERT(record.madeAt[index + 1] - record.madeAt[index] >= std::chrono::milliseconds(minDelayMillis.at(index)));
     }
 
     // A listener repeatedly fails to bind its address. The failure must escalate to the supervisor above; otherwise the
     // daemon would appear to be running but accept no connection. That supervisor then restarts the whole group.
     void tooManyFailuresEscalate()
     {
-        Record inner;
+        ChildRecord inner;
         int groups = 0;
         Supervisor root(m_context, "root");
-        auto limited = quick;
+        auto limited = quickRestarts;
         limited.maxFailures = 3;
         root.add({ .name = "links", .make = [&](const FailureHandler& onFailure) {
                       ++groups;
                       auto group = std::make_unique<Supervisor>(m_context, "links", onFailure);
                       group->add(spec("board-1", inner, limited));
-                      return group; }, .policy = quick });
+                      return group; }, .policy = quickRestarts });
         CPPUNIT_ASSERT_EQUAL(std::string("root/links/board-1"), root.status()[1].path);
         for (int failures = 1; failures <= 3; ++failures) {
             CPPUNIT_ASSERT_EQUAL(1, groups);
@@ -136,9 +136,9 @@
         CPPUNIT_ASSERT(root.status()[0].lastReason == ChildFailure::ChildGaveUp);
     }
 
-    void removedChildStaysAway()
+    void removedChildIsNotRestarted()
     {
-        Record record;
+        ChildRecord record;
         {
             Supervisor root(m_context, "root");
             root.add(spec("gone", record));
--- a/tests/standins/platform/platformserver.cpp
+++ b/tests/standins/platform/platformserver.cpp
@@ -234,7 +234,7 @@
         const Watch done = std::move(*place);
         m_watches.erase(place);
     });
-    place->responder->setOnGone([this, place] {
+    place->responder->setOnDisconnect([this, place] {
         const Watch gone = std::move(*place);
         m_watches.erase(place);
     });
@@ -259,7 +259,7 @@
     const std::list<Watch> dropped = std::move(m_watches);
     m_watches.clear();
     for (const Watch& watch : dropped) {
-        watch.responder->setOnGone(nullptr);
+        watch.responder->setOnDisconnect(nullptr);
         watch.responder->abort();
     }
 }
--- a/tests/standins/upstream/upstream.cpp
+++ b/tests/standins/upstream/upstream.cpp
@@ -122,7 +122,7 @@
     const Millis base = (isFiling ? m_options.filingTime : m_options.queryTime) * (isOverloaded ? overloadFactor : 1);
     work->timer.expires_after(std::chrono::milliseconds(static_cast<Millis>(static_cast<double>(base) * m_behaviour.slowFactor)));
     // When the client disconnects, cancelling the timer drops its handler, which holds the last reference to the work.
-    work->responder->setOnGone([weak = std::weak_ptr(work)] {
+    work->responder->setOnDisconnect([weak = std::weak_ptr(work)] {
         if (const auto gone = weak.lock())
             gone->timer.cancel();
     });
@@ -137,7 +137,7 @@
     HistoryEvent ended = event(HistoryKind::UpstreamWorkEnded, work->request);
     if (pathOf(work->request.target) == "/feed") {
         record(std::move(ended));
-        work->responder->setOnGone({});
+        work->responder->setOnDisconnect({});
         work->responder->beginStream(200, { { "Content-Type", "text/plain" } });
         feed(work->responder, 1);
         return;
--- a/tests/trustplatform/testpacketagent.cpp
+++ b/tests/trustplatform/testpacketagent.cpp
@@ -29,7 +29,7 @@
             , agent(role, trustAdapter())
         {
         }
-        ~Agent() { root.endAll(); }
+        ~Agent() { root.destroyAll(); }
 
         Settings settings;
         Clock clock;
--- a/tests/trustplatform/testpeernetwork.cpp
+++ b/tests/trustplatform/testpeernetwork.cpp
@@ -75,7 +75,7 @@
         {
             PeerMessageEncoder encoder;
             const OutageView outages;
-            const auto bytes = encoder.encode(NewsMessage { .configVersion = version, .outages = &outages, .entries = {}, .readers = {} });
+            const auto bytes = encoder.encode(GossipMessage { .configVersion = version, .outages = &outages, .entries = {}, .readers = {} });
             m_gossipSocket.send_to(asio::buffer(bytes.data(), bytes.size()), receiver);
         }
 
