--- a/src/kingcuptrailctl/applycommand.cpp
+++ b/src/kingcuptrailctl/applycommand.cpp
@@ -43,7 +43,7 @@
             return makeResult(ExitCode::Success, text + "in force on " + std::to_string(inForce.daemons) + " daemons after " + std::to_string(inForce.took) + " ms\n", std::move(members));
         Table table({ "LAGGING", "ADMIN", "STATE" });
         for (const DaemonAnswer& answer : inForce.lagging)
-            table.add({ answer.name(), answer.entry.admin.address().to_string() + ":" + std::to_string(answer.entry.admin.port()), lagOf(answer) });
+            table.add({ answer.name(), answer.entry.admin.address().to_string() + ":" + std::to_string(answer.entry.admin.port()), describeLag(answer) });
         return makeResult(ExitCode::DaemonsLag, text + table.text(), std::move(members));
     }
 
--- a/src/kingcuptrailctl/daemons.cpp
+++ b/src/kingcuptrailctl/daemons.cpp
@@ -17,7 +17,7 @@
     /// Limits concurrent queries. Connecting to thousands of daemons at once would need more file descriptors than a
     /// process may open, and cause a burst of connections on every host. As one answer takes milliseconds, thousands of
     /// daemons can still be queried within seconds.
-    constexpr std::size_t maxCallsAtOnce = 64;
+    constexpr std::size_t maxConcurrentQueries = 64;
 
     std::optional<DaemonEntry> parseEntry(const PlatformObject& object)
     {
@@ -71,10 +71,10 @@
         }
     }
 
-    /// Queries the status of many daemons, at most maxCallsAtOnce at a time.
-    class Asking {
+    /// Queries the status of many daemons, at most maxConcurrentQueries at a time.
+    class DaemonQuery {
     public:
-        Asking(const std::vector<DaemonEntry>& daemons, Millis timeout)
+        DaemonQuery(const std::vector<DaemonEntry>& daemons, Millis timeout)
             : m_timeout(timeout)
         {
             for (const DaemonEntry& daemon : daemons)
@@ -83,7 +83,7 @@
 
         std::vector<DaemonAnswer> run()
         {
-            while (m_started < m_answers.size() && m_started < maxCallsAtOnce)
+            while (m_started < m_answers.size() && m_started < maxConcurrentQueries)
                 startNext();
             m_context.run();
             return std::move(m_answers);
@@ -141,12 +141,12 @@
     return daemons;
 }
 
-std::vector<DaemonAnswer> askDaemons(const std::vector<DaemonEntry>& daemons, Millis timeout)
+std::vector<DaemonAnswer> queryDaemons(const std::vector<DaemonEntry>& daemons, Millis timeout)
 {
-    return Asking(daemons, timeout).run();
+    return DaemonQuery(daemons, timeout).run();
 }
 
-std::optional<std::string> askDaemon(const asio::ip::tcp::endpoint& admin, const std::string& target, Millis timeout, HttpError& reason)
+std::optional<std::string> queryDaemon(const asio::ip::tcp::endpoint& admin, const std::string& target, Millis timeout, HttpError& reason)
 {
     asio::io_context context;
     std::optional<std::string> body;
--- a/src/kingcuptrailctl/daemons.h
+++ b/src/kingcuptrailctl/daemons.h
@@ -51,10 +51,10 @@
 std::optional<std::vector<DaemonEntry>> findDaemons(const CtlOptions& options, PlatformError& reason);
 
 /// Queries the status of each daemon; the answers are in the order of `daemons`.
-std::vector<DaemonAnswer> askDaemons(const std::vector<DaemonEntry>& daemons, Millis timeout);
+std::vector<DaemonAnswer> queryDaemons(const std::vector<DaemonEntry>& daemons, Millis timeout);
 
 /// The body of a daemon's answer to a GET request. Returns nothing and sets `reason` on failure.
-std::optional<std::string> askDaemon(const asio::ip::tcp::endpoint& admin, const std::string& target, Millis timeout, HttpError& reason);
+std::optional<std::string> queryDaemon(const asio::ip::tcp::endpoint& admin, const std::string& target, Millis timeout, HttpError& reason);
 
 /// Kind of the platform objects in which daemons register.
 inline const std::string daemonKind = "daemon";
--- a/src/kingcuptrailctl/explaincommand.cpp
+++ b/src/kingcuptrailctl/explaincommand.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-    constexpr Millis askTimeout = 2000;
+    constexpr Millis queryTimeout = 2000;
 
     /// A counter of a daemon's metrics with the reason as label.
     struct ReasonCount {
@@ -36,11 +36,11 @@
     }
 
     /// Adds a daemon's data to an explanation: its counters of the reason, and the last failures of its children.
-    CommandResult askAbout(const std::string& name, std::string text, json members, const asio::ip::tcp::endpoint& admin)
+    CommandResult addDaemonData(const std::string& name, std::string text, json members, const asio::ip::tcp::endpoint& admin)
     {
         HttpError reason = HttpError::None;
-        const auto metrics = askDaemon(admin, "/metrics", askTimeout, reason);
-        const auto answers = askDaemons({ { .name = "daemon", .role = {}, .dataCentre = {}, .admin = admin } }, askTimeout);
+        const auto metrics = queryDaemon(admin, "/metrics", queryTimeout, reason);
+        const auto answers = queryDaemons({ { .name = "daemon", .role = {}, .dataCentre = {}, .admin = admin } }, queryTimeout);
         if (!metrics || !answers.front().status) {
             members["error"] = nameOf(metrics ? answers.front().error : reason);
             return makeResult(ExitCode::DaemonUnreachable, std::move(text), std::move(members));
@@ -80,7 +80,7 @@
     json members { { "code", code }, { "explanations", list } };
     if (!options.daemon)
         return makeResult(ExitCode::Success, std::move(text), std::move(members));
-    return askAbout(found.front().name, std::move(text), std::move(members), *options.daemon);
+    return addDaemonData(found.front().name, std::move(text), std::move(members), *options.daemon);
 }
 
 }
--- a/src/kingcuptrailctl/forgetcommand.cpp
+++ b/src/kingcuptrailctl/forgetcommand.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-    struct Call {
+    struct ObjectCallResult {
         ObjectVersion version = 0;
         PlatformError error = PlatformError::NoAnswer;
     };
@@ -20,12 +20,12 @@
 {
     asio::io_context context;
     PlatformClient client(context, platformOptions(options));
-    const auto entry = awaitResult<Call>(context, [&](const std::function<void(Call)>& done) {
+    const auto entry = awaitResult<ObjectCallResult>(context, [&](const std::function<void(ObjectCallResult)>& done) {
         client.get(daemonKind, name, [done](const std::optional<PlatformObject>& object, PlatformError error) { done({ .version = object ? object->version : 0, .error = error }); });
     });
-    Call removal = entry;
+    ObjectCallResult removal = entry;
     if (entry.error == PlatformError::None) {
-        removal = awaitResult<Call>(context, [&](const std::function<void(Call)>& done) {
+        removal = awaitResult<ObjectCallResult>(context, [&](const std::function<void(ObjectCallResult)>& done) {
             client.remove(daemonKind, name, entry.version, [done](std::optional<ObjectVersion>, PlatformError error) { done({ .error = error }); });
         });
     }
--- a/src/kingcuptrailctl/inforce.cpp
+++ b/src/kingcuptrailctl/inforce.cpp
@@ -12,13 +12,13 @@
 namespace {
 
     /// Time limit for the answer of one daemon, in milliseconds; a stopped daemon must not delay the others for long.
-    constexpr Millis askTimeout = 2000;
+    constexpr Millis queryTimeout = 2000;
 
     /// Pauses between polls, in milliseconds. Polling thousands of daemons without pauses would load every host. The
     /// first pauses are short, since most changes are in force within a second; then they double. Only daemons without
     /// the version are polled again.
     constexpr Millis firstPause = 50;
-    constexpr Millis longestPause = 1000;
+    constexpr Millis maxPause = 1000;
 
     Millis since(steady_clock::time_point start)
     {
@@ -49,22 +49,22 @@
     if (!daemons)
         return { .isKnown = false };
     InForce result { .daemons = daemons->size() };
-    std::vector<DaemonEntry> toAsk = *daemons;
+    std::vector<DaemonEntry> toQuery = *daemons;
     Millis pause = firstPause;
     while (true) {
         const Millis left = std::max<Millis>(options.timeout - since(start), 1);
-        result.lagging = askDaemons(toAsk, std::min(askTimeout, left));
+        result.lagging = queryDaemons(toQuery, std::min(queryTimeout, left));
         std::erase_if(result.lagging, [version](const DaemonAnswer& answer) { return isInForce(answer, version); });
         result.took = since(start);
         if (result.lagging.empty() || result.took >= options.timeout)
             return result;
-        toAsk = entriesOf(result.lagging);
+        toQuery = entriesOf(result.lagging);
         std::this_thread::sleep_for(milliseconds(std::min(pause, options.timeout - result.took)));
-        pause = std::min(2 * pause, longestPause);
+        pause = std::min(2 * pause, maxPause);
     }
 }
 
-std::string lagOf(const DaemonAnswer& answer)
+std::string describeLag(const DaemonAnswer& answer)
 {
     if (!answer.status)
         return std::string(nameOf(answer.error));
--- a/src/kingcuptrailctl/inforce.h
+++ b/src/kingcuptrailctl/inforce.h
@@ -21,6 +21,6 @@
 InForce waitInForce(ConfigVersion version, const CtlOptions& options);
 
 /// Why the version is not known to be in force on a daemon, such as "at version 3" or "connectFailed".
-std::string lagOf(const DaemonAnswer& answer);
+std::string describeLag(const DaemonAnswer& answer);
 
 }
--- a/src/kingcuptrailctl/loglines.cpp
+++ b/src/kingcuptrailctl/loglines.cpp
@@ -9,23 +9,23 @@
 
 namespace {
 
-    void readAll(std::istream& input, const std::function<void(const std::string&)>& take)
+    void readAll(std::istream& input, const std::function<void(const std::string&)>& onLine)
     {
         for (std::string text; std::getline(input, text);)
-            take(text);
+            onLine(text);
     }
 
 }
 
-std::optional<CommandResult> readLogs(const CtlOptions& options, const std::function<void(const std::string&)>& take)
+std::optional<CommandResult> readLogs(const CtlOptions& options, const std::function<void(const std::string&)>& onLine)
 {
     if (options.logs.empty())
-        readAll(std::cin, take);
+        readAll(std::cin, onLine);
     for (const std::string& path : options.logs) {
         std::ifstream file(path);
         if (!file)
             return makeResult(ExitCode::FileUnreadable, path + ": cannot be read\n", { { "file", path } });
-        readAll(file, take);
+        readAll(file, onLine);
     }
     return std::nullopt;
 }
--- a/src/kingcuptrailctl/loglines.h
+++ b/src/kingcuptrailctl/loglines.h
@@ -7,9 +7,9 @@
 
 namespace kingcuptrail {
 
-/// Calls `take` for each line of the log files in `options`, or else of standard input. Returns an error result when a file
+/// Calls `onLine` for each line of the log files in `options`, or else of standard input. Returns an error result when a file
 /// cannot be read, otherwise nothing.
-std::optional<CommandResult> readLogs(const CtlOptions& options, const std::function<void(const std::string&)>& take);
+std::optional<CommandResult> readLogs(const CtlOptions& options, const std::function<void(const std::string&)>& onLine);
 
 /// The JSON object in a line, which may follow a prefix such as a log collector's timestamp. Not a JSON object when the
 /// line contains none.
--- a/src/kingcuptrailctl/statuscommand.cpp
+++ b/src/kingcuptrailctl/statuscommand.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-    constexpr Millis askTimeout = 2000;
+    constexpr Millis queryTimeout = 2000;
 
     /// The configuration and presences stored in the platform.
     struct PlatformView {
@@ -36,7 +36,7 @@
         return presences;
     }
 
-    PlatformView viewPlatform(const CtlOptions& options)
+    PlatformView readPlatform(const CtlOptions& options)
     {
         asio::io_context context;
         PlatformView view;
@@ -118,11 +118,11 @@
 // then.
 CommandResult showStatus(const std::string&, const CtlOptions& options)
 {
-    const PlatformView view = viewPlatform(options);
+    const PlatformView view = readPlatform(options);
     PlatformError daemonsError = PlatformError::None;
     const auto entries = findDaemons(options, daemonsError);
     const ConfigVersion version = view.config ? view.config->version : 0;
-    const auto answers = askDaemons(entries.value_or(std::vector<DaemonEntry> {}), askTimeout);
+    const auto answers = queryDaemons(entries.value_or(std::vector<DaemonEntry> {}), queryTimeout);
     const Section daemons = describeDaemons(answers, version);
     const Section upstreams = describeUpstreams(view.presences);
     json members {
--- a/src/libcaller/caller.cpp
+++ b/src/libcaller/caller.cpp
@@ -17,14 +17,14 @@
 {
 }
 
-void Caller::Private::arm()
+void Caller::Private::armTimer()
 {
     auto next = flowWakes.next();
     if (const auto call = callWakes.next())
         next = next ? std::min(*next, *call) : call;
-    if (!next || (armedFor && *armedFor <= *next))
+    if (!next || (timerExpiresAt && *timerExpiresAt <= *next))
         return;
-    armedFor = next;
+    timerExpiresAt = next;
     timer.expires_after(std::chrono::milliseconds(std::max<Millis>(0, *next - clock.now())));
     timer.async_wait([this, guard = std::weak_ptr<void>(alive)](asio::error_code error) {
         if (!error && !guard.expired())
@@ -34,18 +34,18 @@
 
 void Caller::Private::handleDue()
 {
-    armedFor.reset();
+    timerExpiresAt.reset();
     const Millis now = clock.now();
     while (const auto id = callWakes.takeDue(now)) {
         PendingCall& call = calls[*id];
         if (now >= call.progress.deadline)
-            giveUp(*id, true);
+            abandonCall(*id, true);
         else
             startTry(*id, call);
     }
     while (const auto id = flowWakes.takeDue(now))
         pump(*flows[*id]);
-    arm();
+    armTimer();
 }
 
 Caller::Caller(asio::io_context& context, const CallerOptions& options, CallerHandlers handlers)
@@ -62,7 +62,7 @@
 
 void Caller::closeFlow(FlowId flow)
 {
-    if (HeldFlow* found = m_d->findFlow(flow))
+    if (FlowEntry* found = m_d->findFlow(flow))
         m_d->closeFlow(*found);
 }
 
@@ -73,7 +73,7 @@
 
 void Caller::cancel(CallId call)
 {
-    m_d->giveUp(call, false);
+    m_d->abandonCall(call, false);
 }
 
 const CallerCounters& Caller::counters() const
--- a/src/libcaller/callercalls.cpp
+++ b/src/libcaller/callercalls.cpp
@@ -9,7 +9,7 @@
 
     /// Whether new requests should avoid an owner that refused for this reason. Its flow stays open for the calls still
     /// on it, such as a feed.
-    bool isOwnerUseless(RefusalReason reason)
+    bool shouldAvoidOwner(RefusalReason reason)
     {
         return reason == RefusalReason::UpstreamDraining || reason == RefusalReason::UpstreamUnreachable;
     }
@@ -20,13 +20,13 @@
 // and closing a flow for each of them costs balancers and agents more than the request itself. So a shared flow with
 // another owner is preferred; then a new shared flow, up to the number of shared flows; and only then a flow for the call
 // alone.
-FlowId Caller::Private::flowElsewhere(PendingCall& call)
+FlowId Caller::Private::chooseFlowToOtherOwner(PendingCall& call)
 {
     const auto& shared = usableSharedFlows(call.spec.service);
     for (std::size_t step = 0; step < shared.size(); ++step) {
         const FlowId id = shared[nextShared++ % shared.size()];
         const CallerFlow& flow = flows[id]->flow;
-        if (flow.state() == FlowState::Open && std::ranges::find(call.metOwners, flow.owner()) == call.metOwners.end())
+        if (flow.state() == FlowState::Open && std::ranges::find(call.triedOwners, flow.owner()) == call.triedOwners.end())
             return id;
     }
     if (shared.size() < options.sharedFlows)
@@ -51,15 +51,15 @@
     return id;
 }
 
-FlowId Caller::Private::flowForTry(PendingCall& call)
+FlowId Caller::Private::chooseFlowForTry(PendingCall& call)
 {
     call.ownsFlow = false;
     const auto isUsable = [&](FlowId id) {
-        const HeldFlow* flow = findFlow(id);
+        const FlowEntry* flow = findFlow(id);
         return flow && !flow->isRetiring && flow->flow.state() != FlowState::Ended && !(call.progress.idempotent && flow->flow.isSuspect());
     };
     if (call.retryOnNewFlow)
-        return flowElsewhere(call);
+        return chooseFlowToOtherOwner(call);
     if (call.spec.flow && isUsable(call.spec.flow))
         return call.spec.flow;
     return sharedFlow(call.spec.service);
@@ -68,8 +68,8 @@
 void Caller::Private::startTry(CallId id, PendingCall& call)
 {
     call.retryAt.reset();
-    call.sawSuspect = false;
-    call.flow = flowForTry(call);
+    call.suspectHandled = false;
+    call.flow = chooseFlowForTry(call);
     call.requestId = nextRequest++;
     const Millis left = call.progress.deadline - clock.now();
     const auto earlier = options.nameEarlierOwners ? call.progress.earlier : std::vector<OwnerToken> {};
@@ -78,13 +78,13 @@
     ++call.progress.tries;
     ++counters.tries;
     requests[call.requestId] = id;
-    HeldFlow& flow = *flows[call.flow];
+    FlowEntry& flow = *flows[call.flow];
     flow.isRetiring = flow.isRetiring || call.ownsFlow;
     flow.calls.insert(id);
     flow.senders.push_back(id);
     scheduleCall(id, call);
     flowWakes.set(call.flow, 0);
-    arm();
+    armTimer();
 }
 
 void Caller::Private::scheduleCall(CallId id, const PendingCall& call)
@@ -95,21 +95,21 @@
     if (call.retryAt)
         at = std::min(*call.retryAt, call.progress.deadline);
     callWakes.set(id, at);
-    arm();
+    armTimer();
 }
 
-void Caller::Private::leaveFlow(CallId id, PendingCall& call, bool tellUpstream)
+void Caller::Private::detachFromFlow(CallId id, PendingCall& call, bool sendCancel)
 {
     requests.erase(call.requestId);
-    HeldFlow* flow = findFlow(call.flow);
+    FlowEntry* flow = findFlow(call.flow);
     if (!flow)
         return;
     flow->calls.erase(id);
     std::erase(flow->senders, id);
-    if (tellUpstream && call.sender && call.sender->hasBegun() && flow->flow.state() == FlowState::Open) {
+    if (sendCancel && call.sender && call.sender->hasBegun() && flow->flow.state() == FlowState::Open) {
         flow->cancels.push_back(encodeCancel(call.requestId));
         flowWakes.set(call.flow, 0);
-        arm();
+        armTimer();
     }
     retireIfUnused(*flow);
 }
@@ -119,28 +119,28 @@
     counters.refusals.increment(result.reason);
     call.lastReason = result.reason;
     call.lastRetryAfter = result.retryAfter;
-    HeldFlow* flow = findFlow(call.flow);
+    FlowEntry* flow = findFlow(call.flow);
     call.lastOwner = flow ? flow->flow.owner() : OwnerToken {};
-    if (flow && isOwnerUseless(result.reason))
+    if (flow && shouldAvoidOwner(result.reason))
         flow->isRetiring = true;
-    if (tryAgain(id, call, result, false))
+    if (retryIfAllowed(id, call, result, false))
         return;
-    leaveFlow(id, call, false);
+    detachFromFlow(id, call, false);
     finish(id, outcomeAfter(call.progress, result));
 }
 
-bool Caller::Private::tryAgain(CallId id, PendingCall& call, const AttemptResult& result, bool tellUpstream)
+bool Caller::Private::retryIfAllowed(CallId id, PendingCall& call, const AttemptResult& result, bool sendCancel)
 {
     const Millis now = clock.now();
-    if (const HeldFlow* flow = findFlow(call.flow)) {
+    if (const FlowEntry* flow = findFlow(call.flow)) {
         call.lastOwner = flow->flow.owner();
-        call.metOwners.push_back(call.lastOwner);
+        call.triedOwners.push_back(call.lastOwner);
     }
-    const RetryVerdict verdict = noteTryEnd(call.progress, budget, options.retry, result, call.lastOwner, now);
+    const RetryVerdict verdict = recordTryEnd(call.progress, budget, options.retry, result, call.lastOwner, now);
     counters.retries.increment(verdict.reason);
     if (!verdict.retry)
         return false;
-    leaveFlow(id, call, tellUpstream);
+    detachFromFlow(id, call, sendCancel);
     call.retryAt = now + verdict.delay;
     call.retryOnNewFlow = verdict.newFlow;
     call.sender.reset();
@@ -150,16 +150,16 @@
 
 // The end user gets the result at once, without waiting for the flow or the upstream. Messages that arrive later match no
 // request and are counted as late.
-void Caller::Private::giveUp(CallId id, bool byDeadline)
+void Caller::Private::abandonCall(CallId id, bool byDeadline)
 {
     const auto found = calls.find(id);
     if (found == calls.end())
         return;
     PendingCall& call = found->second;
-    const CallOutcome outcome = outcomeGivenUp(call.progress, byDeadline, call.bodySent());
+    const CallOutcome outcome = outcomeOfAbandonedCall(call.progress, byDeadline, call.bodySent());
     if (byDeadline || call.lastReason == RefusalReason::None)
         call.lastReason = byDeadline ? RefusalReason::DeadlinePassed : RefusalReason::Cancelled;
-    leaveFlow(id, call, true);
+    detachFromFlow(id, call, true);
     finish(id, outcome);
 }
 
@@ -183,8 +183,8 @@
         asio::post(context, [onDone = std::move(call.handlers.onDone), result = std::move(result)]() mutable { onDone(std::move(result)); });
 }
 
-template <typename Body, typename Take>
-void Caller::Private::handleAnswer(const Body* body, Take take)
+template <typename Body, typename Apply>
+void Caller::Private::handleAnswer(const Body* body, Apply apply)
 {
     if (!body)
         return;
@@ -195,15 +195,15 @@
     }
     const CallId id = request->second;
     PendingCall& call = calls[id];
-    take(call, *body);
+    apply(call, *body);
     handleAnswerState(id, call);
 }
 
 void Caller::Private::handleMessage(const wire::Message& message)
 {
-    handleAnswer(message.body_as_AnswerHead(), [](PendingCall& call, const wire::AnswerHead& head) { call.answer->takeHead(head); });
-    handleAnswer(message.body_as_AnswerChunk(), [this](PendingCall& call, const wire::AnswerChunk& chunk) { deliverChunk(call, call.answer->takeChunk(chunk)); });
-    handleAnswer(message.body_as_Refusal(), [](PendingCall& call, const wire::Refusal& refusal) { call.answer->takeRefusal(refusal); });
+    handleAnswer(message.body_as_AnswerHead(), [](PendingCall& call, const wire::AnswerHead& head) { call.answer->receiveHead(head); });
+    handleAnswer(message.body_as_AnswerChunk(), [this](PendingCall& call, const wire::AnswerChunk& chunk) { deliverChunk(call, call.answer->receiveChunk(chunk)); });
+    handleAnswer(message.body_as_Refusal(), [](PendingCall& call, const wire::Refusal& refusal) { call.answer->receiveRefusal(refusal); });
 }
 
 void Caller::Private::deliverChunk(PendingCall& call, std::string_view bytes)
@@ -215,7 +215,7 @@
 
 void Caller::Private::handleAnswerState(CallId id, PendingCall& call)
 {
-    const HeldFlow* flow = findFlow(call.flow);
+    const FlowEntry* flow = findFlow(call.flow);
     switch (call.answer->state()) {
     case AnswerState::Waiting:
         return;
@@ -226,7 +226,7 @@
     case AnswerState::Whole:
         call.lastOwner = flow ? flow->flow.owner() : OwnerToken {};
         // The request needs to be cancelled only if its answer arrived before all of it was sent.
-        leaveFlow(id, call, !call.bodySent());
+        detachFromFlow(id, call, !call.bodySent());
         finish(id, CallOutcome::AnswerWhole);
         return;
     case AnswerState::Refused: {
--- a/src/libcaller/callerflow.cpp
+++ b/src/libcaller/callerflow.cpp
@@ -86,14 +86,14 @@
     if (m_state == FlowState::Ended)
         return;
     // Packets of other processes are ignored: their sequence numbers also start at 1, so they would corrupt the owner's.
-    const bool isOwners = m_state == FlowState::Open && token == m_owner;
-    if (packet.kind() == wire::PacketKind::Reset && (isOwners || m_state == FlowState::Opening)) {
+    const bool isFromOwner = m_state == FlowState::Open && token == m_owner;
+    if (packet.kind() == wire::PacketKind::Reset && (isFromOwner || m_state == FlowState::Opening)) {
         handleReset(packet);
         return;
     }
-    if (!isOwners)
+    if (!isFromOwner)
         return;
-    m_waitingSince.reset();
+    m_unansweredSince.reset();
     m_isSuspect = false;
     m_probeDue = now + m_options.probeInterval;
     m_probeRepeat = m_options.probeRepeat;
@@ -102,7 +102,7 @@
         expectAnswer(now);
     if (packet.kind() == wire::PacketKind::Segment && packet.payload()) {
         m_endpoint.receive(packet.sequence(), Bytes(packet.payload()->begin(), packet.payload()->end()));
-        m_ackOwed = true;
+        m_ackPending = true;
     }
     if (packet.kind() == wire::PacketKind::Close)
         finish(CallerFlowEnd::ClosedByPeer);
@@ -119,7 +119,7 @@
         return;
     }
     if (token != m_owner || m_state == FlowState::Ended)
-        m_closesOwed.push_back(token);
+        m_pendingCloses.push_back(token);
 }
 
 void CallerFlow::handleReset(const wire::Packet& packet)
@@ -143,7 +143,7 @@
 void CallerFlow::close()
 {
     if (m_state == FlowState::Open)
-        m_closesOwed.push_back(m_owner);
+        m_pendingCloses.push_back(m_owner);
     finish(CallerFlowEnd::ClosedHere);
 }
 
@@ -158,18 +158,18 @@
 std::vector<Bytes> CallerFlow::takeDue(Millis now)
 {
     std::vector<Bytes> frames;
-    for (const OwnerToken& token : std::exchange(m_closesOwed, {}))
+    for (const OwnerToken& token : std::exchange(m_pendingCloses, {}))
         frames.push_back(frame(wire::PacketKind::Close, token));
     if (m_state == FlowState::Opening)
-        takeOpen(frames, now);
+        appendOpen(frames, now);
     if (m_state == FlowState::Open) {
-        takeSegments(frames, now);
-        takeProbe(frames, now);
+        appendSegments(frames, now);
+        appendProbe(frames, now);
     }
     return frames;
 }
 
-void CallerFlow::takeOpen(std::vector<Bytes>& frames, Millis now)
+void CallerFlow::appendOpen(std::vector<Bytes>& frames, Millis now)
 {
     if (now - m_startedAt >= m_options.openLimit) {
         finish(CallerFlowEnd::Unanswered);
@@ -182,24 +182,24 @@
     m_openResend = std::min(m_openResend * 2, m_options.maxOpenResend);
 }
 
-void CallerFlow::takeSegments(std::vector<Bytes>& frames, Millis now)
+void CallerFlow::appendSegments(std::vector<Bytes>& frames, Millis now)
 {
     for (const FlowEndpoint::Segment& segment : m_endpoint.takeDue(now)) {
         frames.push_back(frame(wire::PacketKind::Segment, m_owner, &segment));
-        m_ackOwed = false;
+        m_ackPending = false;
         expectAnswer(now);
     }
-    if (m_ackOwed)
+    if (m_ackPending)
         frames.push_back(frame(wire::PacketKind::Ack, m_owner));
-    m_ackOwed = false;
+    m_ackPending = false;
 }
 
 // A device on the path may drop the packets of one flow for good while new flows work. The only symptom is that no
 // answers arrive, so an idle flow sends probes, and a flow without answers ends after the silence limit.
-void CallerFlow::takeProbe(std::vector<Bytes>& frames, Millis now)
+void CallerFlow::appendProbe(std::vector<Bytes>& frames, Millis now)
 {
-    m_isSuspect = m_waitingSince && now - *m_waitingSince >= m_options.suspectAfter;
-    if (m_isSuspect && now - *m_waitingSince >= m_options.silenceLimit) {
+    m_isSuspect = m_unansweredSince && now - *m_unansweredSince >= m_options.suspectAfter;
+    if (m_isSuspect && now - *m_unansweredSince >= m_options.silenceLimit) {
         finish(CallerFlowEnd::Silent);
         return;
     }
@@ -217,25 +217,25 @@
 
 void CallerFlow::expectAnswer(Millis now)
 {
-    if (!m_waitingSince)
-        m_waitingSince = now;
+    if (!m_unansweredSince)
+        m_unansweredSince = now;
 }
 
 std::optional<Millis> CallerFlow::nextDue() const
 {
-    if (!m_closesOwed.empty())
+    if (!m_pendingCloses.empty())
         return 0;
     if (m_state == FlowState::Ended)
         return std::nullopt;
     if (m_state == FlowState::Opening)
         return std::min(m_openDue, m_startedAt + m_options.openLimit);
-    if (m_ackOwed)
+    if (m_ackPending)
         return 0;
     Millis due = m_probeDue;
     if (const auto segment = m_endpoint.nextDue())
         due = std::min(due, *segment);
-    if (m_waitingSince)
-        due = std::min(due, *m_waitingSince + (m_isSuspect ? m_options.silenceLimit : m_options.suspectAfter));
+    if (m_unansweredSince)
+        due = std::min(due, *m_unansweredSince + (m_isSuspect ? m_options.silenceLimit : m_options.suspectAfter));
     return due;
 }
 
--- a/src/libcaller/callerflow.h
+++ b/src/libcaller/callerflow.h
@@ -59,7 +59,7 @@
 CallerFlowEnd flowEndOfReset(RefusalReason reason, FlowState state);
 
 /// Whether an established flow was lost that should have survived.
-constexpr bool isBreak(CallerFlowEnd end)
+constexpr bool isUnexpectedLoss(CallerFlowEnd end)
 {
     return end == CallerFlowEnd::Broken || end == CallerFlowEnd::Silent;
 }
@@ -136,9 +136,9 @@
     void handleOpened(const OwnerToken& token);
     void handleReset(const wire::Packet& packet);
     void finish(CallerFlowEnd end);
-    void takeOpen(std::vector<Bytes>& frames, Millis now);
-    void takeSegments(std::vector<Bytes>& frames, Millis now);
-    void takeProbe(std::vector<Bytes>& frames, Millis now);
+    void appendOpen(std::vector<Bytes>& frames, Millis now);
+    void appendSegments(std::vector<Bytes>& frames, Millis now);
+    void appendProbe(std::vector<Bytes>& frames, Millis now);
     void expectAnswer(Millis now);
     Bytes frame(wire::PacketKind kind, const OwnerToken& token, const FlowEndpoint::Segment* segment = nullptr) const;
 
@@ -149,15 +149,15 @@
     RefusalReason m_lastReason = RefusalReason::None;
     Millis m_retryAfter = 0;
     OwnerToken m_owner;
-    std::vector<OwnerToken> m_closesOwed;
-    bool m_ackOwed = false;
+    std::vector<OwnerToken> m_pendingCloses;
+    bool m_ackPending = false;
     Millis m_startedAt;
     Millis m_openDue;
     Millis m_openResend;
     Millis m_probeDue = 0;
     Millis m_probeRepeat;
     /// When the oldest packet was sent that requires an answer, if none has arrived since.
-    std::optional<Millis> m_waitingSince;
+    std::optional<Millis> m_unansweredSince;
     bool m_isSuspect = false;
 };
 
--- a/src/libcaller/callerflows.cpp
+++ b/src/libcaller/callerflows.cpp
@@ -9,7 +9,7 @@
 
     /// Maximum number of unacknowledged segments of a flow. The requests on a flow send one message each in turn, so
     /// that a short query does not wait behind the whole body of an upload.
-    constexpr std::size_t sendAheadSegments = 64;
+    constexpr std::size_t maxUnacknowledgedSegments = 64;
 
     RefusalReason reasonOf(const CallerFlow& flow)
     {
@@ -28,7 +28,7 @@
 
 }
 
-HeldFlow* Caller::Private::findFlow(FlowId id)
+FlowEntry* Caller::Private::findFlow(FlowId id)
 {
     const auto found = flows.find(id);
     return found == flows.end() ? nullptr : found->second.get();
@@ -45,34 +45,34 @@
         .silenceLimit = options.silenceLimit,
         .openLimit = options.openLimit,
     };
-    HeldFlow& flow = *flows.emplace(id, std::make_unique<HeldFlow>(flowOptions, clock.now())).first->second;
+    FlowEntry& flow = *flows.emplace(id, std::make_unique<FlowEntry>(flowOptions, clock.now())).first->second;
     ++counters.flowsOpened;
     pump(flow);
     return id;
 }
 
-void Caller::Private::closeFlow(HeldFlow& flow)
+void Caller::Private::closeFlow(FlowEntry& flow)
 {
     for (const CallId id : std::set<CallId>(flow.calls))
-        giveUp(id, false);
+        abandonCall(id, false);
     flow.flow.close();
     pump(flow);
 }
 
-void Caller::Private::retireIfUnused(HeldFlow& flow)
+void Caller::Private::retireIfUnused(FlowEntry& flow)
 {
     if (!flow.isRetiring || !flow.calls.empty() || flow.flow.state() == FlowState::Ended)
         return;
     flow.flow.close();
     flowWakes.set(flow.flow.id(), 0);
-    arm();
+    armTimer();
 }
 
 std::vector<FlowId>& Caller::Private::usableSharedFlows(ServiceAddress service)
 {
     auto& shared = sharedFlows[service];
     std::erase_if(shared, [this](FlowId id) {
-        HeldFlow* flow = findFlow(id);
+        FlowEntry* flow = findFlow(id);
         if (!flow || flow->flow.state() == FlowState::Ended)
             return true;
         flow->isRetiring = flow->isRetiring || flow->flow.isSuspect();
@@ -101,13 +101,13 @@
 // its deadline. Retrying at every late packet would double the load of a system that is merely slow, so this is limited
 // to idempotent requests with an ordinary answer, to a silence longer than resends over the other balancers need, and to
 // the retry budget. A call that is not retried goes on waiting.
-void Caller::Private::leaveSuspect(HeldFlow& flow)
+void Caller::Private::retryCallsOfSuspectFlow(FlowEntry& flow)
 {
     for (const CallId id : std::set<CallId>(flow.calls)) {
         PendingCall& call = calls[id];
-        if (!call.progress.idempotent || call.request->stream || std::exchange(call.sawSuspect, true))
+        if (!call.progress.idempotent || call.request->stream || std::exchange(call.suspectHandled, true))
             continue;
-        tryAgain(id, call, attemptLostWithFlow(RefusalReason::FlowSilent, 0, true), true);
+        retryIfAllowed(id, call, attemptLostWithFlow(RefusalReason::FlowSilent, 0, true), true);
     }
 }
 
@@ -118,16 +118,16 @@
         flow->flow.handlePathUp(now);
         flowWakes.set(id, flow->flow.nextDue());
     }
-    arm();
+    armTimer();
 }
 
 void Caller::Private::handlePacket(const wire::Packet& packet)
 {
-    HeldFlow* flow = findFlow(packet.flow());
+    FlowEntry* flow = findFlow(packet.flow());
     if (!flow) {
         // The agent still holds a flow that has ended here; without a close packet it would keep it until its silence limit.
-        const bool isHeld = packet.kind() != wire::PacketKind::Reset && packet.kind() != wire::PacketKind::Close;
-        if (isHeld && ownerOf(packet).isSet())
+        const bool isHeldByAgent = packet.kind() != wire::PacketKind::Reset && packet.kind() != wire::PacketKind::Close;
+        if (isHeldByAgent && ownerOf(packet).isSet())
             link.send(closeFrameFor(packet));
         return;
     }
@@ -141,13 +141,13 @@
     pump(*flow);
 }
 
-void Caller::Private::queueMessages(HeldFlow& flow)
+void Caller::Private::queueMessages(FlowEntry& flow)
 {
-    while (!flow.cancels.empty() && flow.flow.unacknowledged() < sendAheadSegments) {
+    while (!flow.cancels.empty() && flow.flow.unacknowledged() < maxUnacknowledgedSegments) {
         flow.flow.send(std::move(flow.cancels.front()));
         flow.cancels.pop_front();
     }
-    while (!flow.senders.empty() && flow.flow.unacknowledged() < sendAheadSegments) {
+    while (!flow.senders.empty() && flow.flow.unacknowledged() < maxUnacknowledgedSegments) {
         const CallId id = flow.senders.front();
         flow.senders.pop_front();
         RequestSender& sender = *calls[id].sender;
@@ -158,7 +158,7 @@
     }
 }
 
-void Caller::Private::sendDue(HeldFlow& flow)
+void Caller::Private::sendDue(FlowEntry& flow)
 {
     // Messages are queued only once the owner is known, so a flow that no agent accepted has carried no request.
     if (flow.flow.state() == FlowState::Open)
@@ -167,7 +167,7 @@
         link.send(std::move(frame));
 }
 
-void Caller::Private::pump(HeldFlow& flow)
+void Caller::Private::pump(FlowEntry& flow)
 {
     const FlowId id = flow.flow.id();
     if (flow.flow.state() == FlowState::Open && !std::exchange(flow.wasOpen, true)) {
@@ -176,16 +176,16 @@
     }
     sendDue(flow);
     if (flow.flow.isSuspect()) {
-        leaveSuspect(flow);
+        retryCallsOfSuspectFlow(flow);
         sendDue(flow);
     }
     flowWakes.set(id, flow.flow.nextDue());
     if (flow.flow.state() == FlowState::Ended)
         handleFlowEnd(flow);
-    arm();
+    armTimer();
 }
 
-void Caller::Private::handleFlowEnd(HeldFlow& flow)
+void Caller::Private::handleFlowEnd(FlowEntry& flow)
 {
     const FlowId id = flow.flow.id();
     const CallerFlowEnd end = flow.flow.end();
--- a/src/libcaller/callerprivate.h
+++ b/src/libcaller/callerprivate.h
@@ -30,19 +30,19 @@
     std::optional<Millis> retryAt;
     bool retryOnNewFlow = false;
     /// Whether the flow of the current try was found suspect. A retry for this reason is considered once per try.
-    bool sawSuspect = false;
+    bool suspectHandled = false;
     RefusalReason lastReason = RefusalReason::None;
     Millis lastRetryAfter = 0;
     OwnerToken lastOwner;
     /// The owners of the flows of all earlier tries.
-    std::vector<OwnerToken> metOwners;
+    std::vector<OwnerToken> triedOwners;
 
     bool bodySent() const { return sender && sender->isDone(); }
 };
 
 /// A flow and the calls on it.
-struct HeldFlow {
-    explicit HeldFlow(const CallerFlowOptions& options, Millis now)
+struct FlowEntry {
+    explicit FlowEntry(const CallerFlowOptions& options, Millis now)
         : flow(options, now)
     {
     }
@@ -62,38 +62,38 @@
     Private(asio::io_context& ioContext, const CallerOptions& callerOptions, CallerHandlers callerHandlers);
 
     FlowId openFlow(ServiceAddress service);
-    void closeFlow(HeldFlow& flow);
-    void retireIfUnused(HeldFlow& flow);
+    void closeFlow(FlowEntry& flow);
+    void retireIfUnused(FlowEntry& flow);
     std::vector<FlowId>& usableSharedFlows(ServiceAddress service);
     FlowId sharedFlow(ServiceAddress service);
     FlowId openSharedFlow(ServiceAddress service);
-    FlowId flowElsewhere(PendingCall& call);
-    HeldFlow* findFlow(FlowId id);
+    FlowId chooseFlowToOtherOwner(PendingCall& call);
+    FlowEntry* findFlow(FlowId id);
 
     CallId startCall(CallSpec spec, CallHandlers handlers);
     void startTry(CallId id, PendingCall& call);
-    FlowId flowForTry(PendingCall& call);
+    FlowId chooseFlowForTry(PendingCall& call);
     void endTry(CallId id, PendingCall& call, const AttemptResult& result);
-    bool tryAgain(CallId id, PendingCall& call, const AttemptResult& result, bool tellUpstream);
-    void leaveSuspect(HeldFlow& flow);
-    void leaveFlow(CallId id, PendingCall& call, bool tellUpstream);
-    void giveUp(CallId id, bool byDeadline);
+    bool retryIfAllowed(CallId id, PendingCall& call, const AttemptResult& result, bool sendCancel);
+    void retryCallsOfSuspectFlow(FlowEntry& flow);
+    void detachFromFlow(CallId id, PendingCall& call, bool sendCancel);
+    void abandonCall(CallId id, bool byDeadline);
     void finish(CallId id, CallOutcome outcome);
     void scheduleCall(CallId id, const PendingCall& call);
 
     void handleLinkUp();
     void handlePacket(const wire::Packet& packet);
     void handleMessage(const wire::Message& message);
-    template <typename Body, typename Take>
-    void handleAnswer(const Body* body, Take take);
+    template <typename Body, typename Apply>
+    void handleAnswer(const Body* body, Apply apply);
     void handleAnswerState(CallId id, PendingCall& call);
     void deliverChunk(PendingCall& call, std::string_view bytes);
 
-    void pump(HeldFlow& flow);
-    void queueMessages(HeldFlow& flow);
-    void sendDue(HeldFlow& flow);
-    void handleFlowEnd(HeldFlow& flow);
-    void arm();
+    void pump(FlowEntry& flow);
+    void queueMessages(FlowEntry& flow);
+    void sendDue(FlowEntry& flow);
+    void handleFlowEnd(FlowEntry& flow);
+    void armTimer();
     void handleDue();
 
     asio::io_context& context;
@@ -108,8 +108,8 @@
     asio::steady_timer timer;
     WakeQueue<FlowId> flowWakes;
     WakeQueue<CallId> callWakes;
-    std::optional<Millis> armedFor;
-    std::unordered_map<FlowId, std::unique_ptr<HeldFlow>> flows;
+    std::optional<Millis> timerExpiresAt;
+    std::unordered_map<FlowId, std::unique_ptr<FlowEntry>> flows;
     std::unordered_map<CallId, PendingCall> calls;
     std::unordered_map<RequestId, CallId> requests;
     std::unordered_map<ServiceAddress, std::vector<FlowId>> sharedFlows;
--- a/src/libcaller/callprogress.cpp
+++ b/src/libcaller/callprogress.cpp
@@ -21,7 +21,7 @@
     return { .ran = bodySent ? Ran::Unknown : Ran::No, .reason = reason, .retryAfter = retryAfter, .flowSilent = bodySent };
 }
 
-RetryVerdict noteTryEnd(CallProgress& progress, RetryBudget& budget, const RetryOptions& options, const AttemptResult& result,
+RetryVerdict recordTryEnd(CallProgress& progress, RetryBudget& budget, const RetryOptions& options, const AttemptResult& result,
     const OwnerToken& owner, Millis now)
 {
     if (result.ran != Ran::No) {
@@ -48,7 +48,7 @@
     return CallOutcome::OutcomeUnknown;
 }
 
-CallOutcome outcomeGivenUp(const CallProgress& progress, bool byDeadline, bool bodySent)
+CallOutcome outcomeOfAbandonedCall(const CallProgress& progress, bool byDeadline, bool bodySent)
 {
     const bool mayHaveRun = progress.mayHaveRun || bodySent;
     if (!progress.idempotent && mayHaveRun)
--- a/src/libcaller/callprogress.h
+++ b/src/libcaller/callprogress.h
@@ -76,13 +76,13 @@
 AttemptResult attemptLostWithFlow(RefusalReason reason, Millis retryAfter, bool bodySent);
 
 /// Decides whether a try that ended without an answer is retried, and updates the state for later tries.
-RetryVerdict noteTryEnd(CallProgress&, RetryBudget&, const RetryOptions&, const AttemptResult&, const OwnerToken& owner, Millis now);
+RetryVerdict recordTryEnd(CallProgress&, RetryBudget&, const RetryOptions&, const AttemptResult&, const OwnerToken& owner, Millis now);
 
 /// The outcome of a call when no further try follows `last`.
 CallOutcome outcomeAfter(const CallProgress&, const AttemptResult& last);
 
 /// The outcome of a call that ends now, at its deadline or because the end user cancelled it. Later answers do not change
 /// it. `bodySent` tells whether the current try had sent its whole request.
-CallOutcome outcomeGivenUp(const CallProgress&, bool byDeadline, bool bodySent);
+CallOutcome outcomeOfAbandonedCall(const CallProgress&, bool byDeadline, bool bodySent);
 
 }
--- a/src/libcaller/fabriclink.cpp
+++ b/src/libcaller/fabriclink.cpp
@@ -70,7 +70,7 @@
     hello.name = m_options.name;
     hello.source = m_options.source;
     m_link->send(encodeFrameOf(std::move(hello)));
-    beat();
+    scheduleHeartbeat();
     m_handlers.onUp();
 }
 
@@ -80,14 +80,14 @@
         m_handlers.onPacket(*packet);
 }
 
-void FabricLink::beat()
+void FabricLink::scheduleHeartbeat()
 {
     m_heartbeatTimer.expires_after(std::chrono::milliseconds(m_options.heartbeat));
     m_heartbeatTimer.async_wait([this, alive = std::weak_ptr<void>(m_alive)](asio::error_code error) {
         if (error || alive.expired() || !m_link)
             return;
         m_link->send(encodeFrameOf(wire::HeartbeatT {}));
-        beat();
+        scheduleHeartbeat();
     });
 }
 
--- a/src/libcaller/fabriclink.h
+++ b/src/libcaller/fabriclink.h
@@ -44,7 +44,7 @@
     void redialLater();
     void handleLink(std::shared_ptr<Link> link);
     void handleFrame(const wire::Frame& frame);
-    void beat();
+    void scheduleHeartbeat();
 
     FabricLinkOptions m_options;
     Handlers m_handlers;
--- a/src/libcaller/requestcall.cpp
+++ b/src/libcaller/requestcall.cpp
@@ -77,7 +77,7 @@
 {
 }
 
-void AnswerAssembly::takeHead(const wire::AnswerHead& head)
+void AnswerAssembly::receiveHead(const wire::AnswerHead& head)
 {
     if (m_state != AnswerState::Waiting) {
         fail(AnswerFault::SecondHead);
@@ -99,7 +99,7 @@
     finishIfWhole();
 }
 
-std::string_view AnswerAssembly::takeChunk(const wire::AnswerChunk& chunk)
+std::string_view AnswerAssembly::receiveChunk(const wire::AnswerChunk& chunk)
 {
     if (m_state != AnswerState::Arriving) {
         fail(m_state == AnswerState::Waiting ? AnswerFault::ChunkBeforeHead : AnswerFault::TooLong);
@@ -127,7 +127,7 @@
     return {};
 }
 
-void AnswerAssembly::takeRefusal(const wire::Refusal& refusal)
+void AnswerAssembly::receiveRefusal(const wire::Refusal& refusal)
 {
     m_refusal.ran = fromNumber<Ran>(refusal.ran()).value_or(Ran::Unknown);
     m_refusal.reason = fromNumber<RefusalReason>(refusal.reason()).value_or(RefusalReason::None);
--- a/src/libcaller/requestcall.h
+++ b/src/libcaller/requestcall.h
@@ -101,13 +101,13 @@
 public:
     explicit AnswerAssembly(bool expectsStream);
 
-    void takeHead(const wire::AnswerHead& head);
+    void receiveHead(const wire::AnswerHead& head);
 
     /// Processes a chunk. For a stream, returns the new bytes, which are valid as long as the chunk; an empty chunk ends
     /// the stream.
-    std::string_view takeChunk(const wire::AnswerChunk& chunk);
+    std::string_view receiveChunk(const wire::AnswerChunk& chunk);
 
-    void takeRefusal(const wire::Refusal& refusal);
+    void receiveRefusal(const wire::Refusal& refusal);
 
     AnswerState state() const { return m_state; }
     AnswerFault fault() const { return m_fault; }
--- a/src/libhistory/checkconfig.cpp
+++ b/src/libhistory/checkconfig.cpp
@@ -37,12 +37,12 @@
         return std::ranges::any_of(daemon.absences, [&](const HistorySpan& span) { return span.overlaps(start, end); });
     }
 
-    bool hadInTime(const DaemonRecord& daemon, ConfigVersion version, Millis deadline)
+    bool wasInForceInTime(const DaemonRecord& daemon, ConfigVersion version, Millis deadline)
     {
         return std::ranges::any_of(daemon.configs, [&](const HistoryEvent* config) { return config->version >= version && config->at <= deadline; });
     }
 
-    void checkReach(const CheckContext& context, const HistoryEvent& accepted)
+    void checkInForce(const CheckContext& context, const HistoryEvent& accepted)
     {
         if (accepted.version == 0)
             return;
@@ -52,7 +52,7 @@
             const Millis deadline = deadlineFor(context, daemon, accepted);
             if (deadline > context.index.end || wasAbsent(daemon, accepted.at, deadline))
                 continue;
-            if (!hadInTime(daemon, accepted.version, deadline))
+            if (!wasInForceInTime(daemon, accepted.version, deadline))
                 context.report(Promise::ConfigNeverReverts, process + " did not have version " + std::to_string(accepted.version) + " in force in time", { &accepted });
         }
     }
@@ -64,7 +64,7 @@
     for (const auto& [process, daemon] : context.index.daemons)
         checkOrder(context, process, daemon);
     for (const HistoryEvent* accepted : context.index.accepted)
-        checkReach(context, *accepted);
+        checkInForce(context, *accepted);
 }
 
 }
--- a/src/libhistory/checker.cpp
+++ b/src/libhistory/checker.cpp
@@ -14,7 +14,7 @@
         return static_cast<std::uint64_t>(std::ranges::count(events, kind, &HistoryEvent::kind));
     }
 
-    std::uint64_t countPromise(const std::vector<Violation>& violations, Promise promise)
+    std::uint64_t countViolations(const std::vector<Violation>& violations, Promise promise)
     {
         return static_cast<std::uint64_t>(std::ranges::count(violations, promise, &Violation::promise));
     }
@@ -53,18 +53,18 @@
             .answeredWhole = countKind(events, HistoryKind::AnswerWhole),
             .refusedNotRun = countKind(events, HistoryKind::RefusedNotRun),
             .outcomeUnknown = countKind(events, HistoryKind::RefusedUnknown),
-            .doubleRuns = countPromise(violations, Promise::AtMostOnce),
-            .misrouted = countPromise(violations, Promise::NoMisrouting),
+            .doubleRuns = countViolations(violations, Promise::AtMostOnce),
+            .misrouted = countViolations(violations, Promise::NoMisrouting),
             .imbalance = imbalanceOf(index),
         };
     }
 
 }
 
-void CheckContext::report(Promise promise, std::string text, std::initializer_list<const HistoryEvent*> shownBy) const
+void CheckContext::report(Promise promise, std::string text, std::initializer_list<const HistoryEvent*> evidence) const
 {
     Violation violation { .promise = promise, .text = std::move(text) };
-    for (const HistoryEvent* event : shownBy) {
+    for (const HistoryEvent* event : evidence) {
         if (event)
             violation.events.push_back(*event);
     }
@@ -77,7 +77,7 @@
     const HistoryIndex index(events, options.notice);
     CheckResult result;
     const CheckContext context { .events = events, .index = index, .options = options, .violations = result.violations };
-    for (const auto check : { checkFlows, checkRouting, checkColdStarts, checkOutages, checkAnswers, checkRefusals, checkSingleRuns, checkLeavers, checkShutdowns, checkConfigs })
+    for (const auto check : { checkFlows, checkRouting, checkColdStarts, checkOutages, checkAnswers, checkRefusals, checkSingleRuns, checkDrains, checkShutdowns, checkConfigs })
         check(context);
     result.summary = summarise(events, index, result.violations);
     return result;
--- a/src/libhistory/checkload.cpp
+++ b/src/libhistory/checkload.cpp
@@ -27,7 +27,7 @@
             context.report(Promise::NoMisrouting, "work for " + request->service + " began at an upstream of " + event.service, { request, &event });
     }
 
-    bool isJustTurnedCold(const CheckContext& context, const HistoryEvent& event)
+    bool isBeforeColdDetection(const CheckContext& context, const HistoryEvent& event)
     {
         const auto faults = context.index.upstreamFaults.find(context.index.upstreamOf(event));
         if (faults == context.index.upstreamFaults.end())
@@ -52,9 +52,9 @@
 void checkColdStarts(const CheckContext& context)
 {
     for (const HistoryEvent& event : context.events) {
-        const bool tooMuch = event.kind == HistoryKind::UpstreamWorkBegan && event.bearable > 0 && event.concurrent > event.bearable;
-        const bool fellOver = event.kind == HistoryKind::UpstreamOverloaded;
-        if ((tooMuch || fellOver) && !isJustTurnedCold(context, event))
+        const bool exceedsCapacity = event.kind == HistoryKind::UpstreamWorkBegan && event.bearable > 0 && event.concurrent > event.bearable;
+        const bool hasFailed = event.kind == HistoryKind::UpstreamOverloaded;
+        if ((exceedsCapacity || hasFailed) && !isBeforeColdDetection(context, event))
             context.report(Promise::ColdSpared, context.index.upstreamOf(event) + " got " + std::to_string(event.concurrent) + " requests at once, but can process only " + std::to_string(event.bearable), { &event });
     }
 }
--- a/src/libhistory/checkmembership.cpp
+++ b/src/libhistory/checkmembership.cpp
@@ -7,7 +7,7 @@
 namespace {
 
     /// The span of `name` that contains the time `at` and began more than `settle` before it.
-    const HistorySpan* settledSpanAt(const std::map<std::string, std::vector<HistorySpan>>& spans, const std::string& name, Millis at, Millis settle)
+    const HistorySpan* findSettledSpan(const std::map<std::string, std::vector<HistorySpan>>& spans, const std::string& name, Millis at, Millis settle)
     {
         const auto found = spans.find(name);
         if (found == spans.end())
@@ -21,7 +21,7 @@
 
     /// The time from which daemons can learn of an outage. A change that is accepted just before the platform goes down
     /// reaches no daemon until the platform is back.
-    Millis newsFrom(const HistoryIndex& index, const HistorySpan& outage, Millis settle)
+    Millis outageKnownFrom(const HistoryIndex& index, const HistorySpan& outage, Millis settle)
     {
         Millis from = outage.from();
         for (const HistorySpan& fault : index.platformFaults) {
@@ -54,7 +54,7 @@
     for (const auto& [id, flow] : context.index.flows) {
         if (!flow.opened || !flow.ended || flow.ended->kind == HistoryKind::FlowClosed)
             continue;
-        if (!context.index.isExcused(flow.upstream, flow.opened->at, flow.ended->at))
+        if (!context.index.isExplainedByFailure(flow.upstream, flow.opened->at, flow.ended->at))
             context.report(Promise::FlowSurvives, "flow " + std::to_string(id) + " ended, but its upstream had not failed and its data centre was not out of service", { flow.opened, flow.ended });
     }
 }
@@ -64,19 +64,19 @@
     for (const HistoryEvent& event : context.events) {
         if (!reachesUpstream(event))
             continue;
-        const HistorySpan* span = settledSpanAt(context.index.outages, event.dataCentre, event.at, context.options.settle);
-        if (span && event.at > newsFrom(context.index, *span, context.options.settle) + context.options.settle)
+        const HistorySpan* span = findSettledSpan(context.index.outages, event.dataCentre, event.at, context.options.settle);
+        if (span && event.at > outageKnownFrom(context.index, *span, context.options.settle) + context.options.settle)
             context.report(Promise::OutSilent, "data centre " + event.dataCentre + " got a packet while it was out of service", { span->began, &event });
     }
 }
 
-void checkLeavers(const CheckContext& context)
+void checkDrains(const CheckContext& context)
 {
     for (const HistoryEvent& event : context.events) {
         if (event.kind != HistoryKind::FlowOpened && event.kind != HistoryKind::UpstreamWorkBegan)
             continue;
         const std::string upstream = context.index.upstreamOf(event);
-        const HistorySpan* span = settledSpanAt(context.index.drains, upstream, event.at, context.options.settle);
+        const HistorySpan* span = findSettledSpan(context.index.drains, upstream, event.at, context.options.settle);
         if (!span)
             continue;
         const bool isOldWork = event.kind == HistoryKind::UpstreamWorkBegan && wasSentBefore(context.index, event.key, span->from());
--- a/src/libhistory/checkrequests.cpp
+++ b/src/libhistory/checkrequests.cpp
@@ -41,24 +41,24 @@
         return result;
     }
 
-    bool isExcusedCall(const CheckContext& context, const std::string& key, const CallRecord& call)
+    bool isCallExplainedByFailure(const CheckContext& context, const std::string& key, const CallRecord& call)
     {
         const auto upstreams = upstreamsOf(context.index, key, call);
         return std::ranges::any_of(upstreams, [&](const std::string& upstream) {
-            return context.index.isExcused(upstream, call.sent->at, call.outcome->at);
+            return context.index.isExplainedByFailure(upstream, call.sent->at, call.outcome->at);
         });
     }
 
     void checkAnswerOf(const CheckContext& context, const std::string& key, const CallRecord& call)
     {
-        if (hasOutcome(call, HistoryKind::AnswerBroken) && !isExcusedCall(context, key, call))
+        if (hasOutcome(call, HistoryKind::AnswerBroken) && !isCallExplainedByFailure(context, key, call))
             context.report(Promise::WholeAnswers, "the answer to " + key + " broke off without a failure", { call.sent, call.outcome });
         if (!hasOutcome(call, HistoryKind::AnswerWhole))
             return;
-        const bool wasGiven = std::ranges::any_of(worksOf(context.index, key), [&](const WorkRecord& work) {
+        const bool wasSent = std::ranges::any_of(worksOf(context.index, key), [&](const WorkRecord& work) {
             return work.ended && work.ended->bodyHash == call.outcome->bodyHash;
         });
-        if (!wasGiven)
+        if (!wasSent)
             context.report(Promise::WholeAnswers, "no upstream sent the answer that " + key + " received", { call.sent, call.outcome });
     }
 
@@ -98,7 +98,7 @@
         return calls != index.callsByKey.end() && std::ranges::any_of(calls->second, [](const CallRecord& call) { return hasOutcome(call, HistoryKind::AnswerWhole); });
     }
 
-    bool wasCut(const HistoryIndex& index, const std::string& key, const CallRecord& call)
+    bool wasInterrupted(const HistoryIndex& index, const std::string& key, const CallRecord& call)
     {
         if (hasOutcome(call, HistoryKind::RefusedRan) || hasOutcome(call, HistoryKind::RefusedUnknown))
             return !wasAnsweredElsewhere(index, key);
@@ -117,12 +117,12 @@
         const std::string upstream = context.index.upstreamOf(shutdown);
         const bool isAgent = !upstream.empty();
         forEachCall(context.index, [&](const std::string& key, const CallRecord& call) {
-            if (!wasUnderWay(call, shutdown.at) || !wasCut(context.index, key, call))
+            if (!wasUnderWay(call, shutdown.at) || !wasInterrupted(context.index, key, call))
                 return;
-            const bool isConcerned = !isAgent || workedAt(context.index, key, upstream, shutdown.at);
-            const bool isExcused = isAgent ? isExcusedCall(context, key, call)
-                                           : isExcusedCall(context, key, call) || context.index.anyFailure(call.sent->at, call.outcome->at);
-            if (isConcerned && !isExcused)
+            const bool isAffected = !isAgent || workedAt(context.index, key, upstream, shutdown.at);
+            const bool isExplainedByFailure = isAgent ? isCallExplainedByFailure(context, key, call)
+                                                      : isCallExplainedByFailure(context, key, call) || context.index.hasFailure(call.sent->at, call.outcome->at);
+            if (isAffected && !isExplainedByFailure)
                 context.report(Promise::ShutdownCutsNothing, key + " was interrupted when " + processOf(shutdown) + " shut down", { call.sent, &shutdown, call.outcome });
         });
     }
--- a/src/libhistory/checks.h
+++ b/src/libhistory/checks.h
@@ -13,12 +13,12 @@
     std::vector<Violation>& violations;
 
     /// Adds a violation. Null events are ignored.
-    void report(Promise promise, std::string text, std::initializer_list<const HistoryEvent*> shownBy) const;
+    void report(Promise promise, std::string text, std::initializer_list<const HistoryEvent*> evidence) const;
 };
 
 void checkFlows(const CheckContext& context);
 void checkOutages(const CheckContext& context);
-void checkLeavers(const CheckContext& context);
+void checkDrains(const CheckContext& context);
 
 void checkRouting(const CheckContext& context);
 void checkColdStarts(const CheckContext& context);
--- a/src/libhistory/history.cpp
+++ b/src/libhistory/history.cpp
@@ -82,8 +82,8 @@
         std::string line;
         while (std::getline(input, line)) {
             ++fault.line;
-            const bool isTorn = input.eof();
-            if (isTorn)
+            const bool isIncomplete = input.eof();
+            if (isIncomplete)
                 break;
             auto event = parseJsonLine(line, fault.error);
             if (!event)
--- a/src/libhistory/historyindex.cpp
+++ b/src/libhistory/historyindex.cpp
@@ -75,14 +75,14 @@
 HistoryIndex::HistoryIndex(const std::vector<HistoryEvent>& events, Millis failureNotice)
     : notice(failureNotice)
 {
-    learnNames(events);
+    indexUpstreamNames(events);
     for (const HistoryEvent& event : events)
         add(event);
     if (!events.empty())
         end = events.back().at;
 }
 
-void HistoryIndex::learnNames(const std::vector<HistoryEvent>& events)
+void HistoryIndex::indexUpstreamNames(const std::vector<HistoryEvent>& events)
 {
     for (const HistoryEvent& event : events) {
         if (event.upstreamId != 0 && !event.upstream.empty())
@@ -126,18 +126,18 @@
         break;
     case HistoryKind::OperatorTookOut:
         outages[event.dataCentre].push_back({ .began = &event });
-        if (const auto ask = asksForOutage.find(event.dataCentre); ask != asksForOutage.end()) {
-            outagesAsked[event.dataCentre].push_back({ .began = ask->second });
-            asksForOutage.erase(ask);
+        if (const auto request = pendingOutageRequests.find(event.dataCentre); request != pendingOutageRequests.end()) {
+            requestedOutages[event.dataCentre].push_back({ .began = request->second });
+            pendingOutageRequests.erase(request);
         }
         accepted.push_back(&event);
         break;
     case HistoryKind::OperatorBeganTakeOut:
-        asksForOutage[event.dataCentre] = &event;
+        pendingOutageRequests[event.dataCentre] = &event;
         break;
     case HistoryKind::OperatorBroughtBack:
         closeSpans(outages[event.dataCentre], event.at);
-        closeSpans(outagesAsked[event.dataCentre], event.at);
+        closeSpans(requestedOutages[event.dataCentre], event.at);
         accepted.push_back(&event);
         break;
     default:
@@ -249,7 +249,7 @@
         closeMatching(daemon->second.absences, event);
 }
 
-bool HistoryIndex::isExcused(const std::string& upstream, Millis start, Millis until) const
+bool HistoryIndex::isExplainedByFailure(const std::string& upstream, Millis start, Millis until) const
 {
     start = std::max(start, until - notice);
     if (anyOverlap(failures, upstream, start, until))
@@ -257,10 +257,10 @@
     const auto dataCentre = dataCentreOfUpstream.find(upstream);
     if (dataCentre == dataCentreOfUpstream.end())
         return false;
-    return anyOverlap(outages, dataCentre->second, start, until) || anyOverlap(outagesAsked, dataCentre->second, start, until);
+    return anyOverlap(outages, dataCentre->second, start, until) || anyOverlap(requestedOutages, dataCentre->second, start, until);
 }
 
-bool HistoryIndex::anyFailure(Millis start, Millis until) const
+bool HistoryIndex::hasFailure(Millis start, Millis until) const
 {
     return anyOverlap(allFailures, std::max(start, until - notice), until);
 }
--- a/src/libhistory/historyindex.h
+++ b/src/libhistory/historyindex.h
@@ -54,10 +54,10 @@
     /// Whether a flow or call that lasted from `start` to `end` may have ended because its upstream or agent failed or its
     /// data centre was out of service. Failures that ended more than `notice` before `end` do not count, since the flow or
     /// call survived them.
-    bool isExcused(const std::string& upstream, Millis start, Millis end) const;
+    bool isExplainedByFailure(const std::string& upstream, Millis start, Millis end) const;
 
     /// The same for a failure of any process and any other fault.
-    bool anyFailure(Millis start, Millis end) const;
+    bool hasFailure(Millis start, Millis end) const;
 
     bool isIdempotent(const std::string& key) const;
 
@@ -73,9 +73,9 @@
     std::map<std::string, std::vector<HistorySpan>> outages;
     /// By data centre, accepted outages from the time of the operators' request: flows there may end from then on, since
     /// daemons may learn of the accepted change before the operators do.
-    std::map<std::string, std::vector<HistorySpan>> outagesAsked;
+    std::map<std::string, std::vector<HistorySpan>> requestedOutages;
     /// By data centre, the last outage that was requested and not accepted yet.
-    std::map<std::string, const HistoryEvent*> asksForOutage;
+    std::map<std::string, const HistoryEvent*> pendingOutageRequests;
     /// By upstream: failures of the upstream or its agent, and drains.
     std::map<std::string, std::vector<HistorySpan>> failures;
     std::map<std::string, std::vector<HistorySpan>> drains;
@@ -91,7 +91,7 @@
     std::map<std::string, std::string> dataCentreOfUpstream;
 
 private:
-    void learnNames(const std::vector<HistoryEvent>& events);
+    void indexUpstreamNames(const std::vector<HistoryEvent>& events);
     void add(const HistoryEvent& event);
     void addCallEvent(const HistoryEvent& event);
     void addFlowEvent(const HistoryEvent& event);
--- a/tests/caller/testcaller.cpp
+++ b/tests/caller/testcaller.cpp
@@ -41,7 +41,7 @@
     asio::ip::tcp::endpoint endpoint() const { return m_acceptor.local_endpoint(); }
 
     template <typename Body>
-    void say(FlowId flow, Body body) { flows[flow].endpoint.send(encodeMessageOf(std::move(body))); }
+    void sendMessage(FlowId flow, Body body) { flows[flow].endpoint.send(encodeMessageOf(std::move(body))); }
 
     void answer(FlowId flow, std::uint64_t request, std::string_view text)
     {
@@ -50,11 +50,11 @@
         head.status = 200;
         head.body_length = text.size();
         head.body_hash = bodyHashOf(text);
-        say(flow, head);
+        sendMessage(flow, head);
         wire::AnswerChunkT chunk;
         chunk.request = request;
         chunk.bytes.assign(text.begin(), text.end());
-        say(flow, chunk);
+        sendMessage(flow, chunk);
     }
 
     void packet(FlowId id, wire::PacketKind kind, wire::PacketT packet = {})
@@ -136,12 +136,12 @@
 
 class TestCaller : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(TestCaller);
-    CPPUNIT_TEST(answersFindTheirRequests);
+    CPPUNIT_TEST(answersMatchTheirRequests);
     CPPUNIT_TEST(cancelledCallIsAnsweredAtOnce);
-    CPPUNIT_TEST(lostFilingIsSentAgainWithItsEarlierOwner);
+    CPPUNIT_TEST(lostRequestIsRetriedWithItsEarlierOwner);
     CPPUNIT_TEST(refusedRequestGoesToAnotherFlow);
     CPPUNIT_TEST(queryDoesNotWaitBehindAnUpload);
-    CPPUNIT_TEST(queryLeavesASilentFlow);
+    CPPUNIT_TEST(queryIsRetriedOffASilentFlow);
     CPPUNIT_TEST(deadlineEndsACall);
     CPPUNIT_TEST_SUITE_END();
 
@@ -178,7 +178,7 @@
     }
 
     /// Two answers on one flow arrive in reverse order: each must be matched to its own request.
-    void answersFindTheirRequests()
+    void answersMatchTheirRequests()
     {
         std::vector<std::pair<FlowId, std::uint64_t>> heads;
         m_agent->script = [&](FlowId flow, const wire::Message& message) {
@@ -228,7 +228,7 @@
 
     // A request that is not idempotent was sent completely when its flow is reset because the data centre was taken out of
     // service. Its outcome is unknown, so the retry must list the first owner; otherwise the request could run twice.
-    void lostFilingIsSentAgainWithItsEarlierOwner()
+    void lostRequestIsRetriedWithItsEarlierOwner()
     {
         std::vector<OwnerToken> earlier;
         FlowId lost = 0;
@@ -262,7 +262,7 @@
             wire::RefusalT refusal;
             refusal.request = head->request();
             refusal.reason = static_cast<std::uint8_t>(RefusalReason::QueueFull);
-            m_agent->say(flow, refusal);
+            m_agent->sendMessage(flow, refusal);
         };
         call({ .key = "query" });
         await([this] { return m_results.contains("query"); });
@@ -298,7 +298,7 @@
 
     // All packets of one flow are lost while new flows work. A query on it must be retried on another flow, since the silence
     // limit of the flow may be longer than the query's deadline.
-    void queryLeavesASilentFlow()
+    void queryIsRetriedOffASilentFlow()
     {
         m_agent->script = [&](FlowId flow, const wire::Message& message) {
             const auto* head = message.body_as_RequestHead();
--- a/tests/caller/testcallerflow.cpp
+++ b/tests/caller/testcallerflow.cpp
@@ -34,7 +34,7 @@
         return kinds;
     }
 
-    void say(PacketKind kind, Millis now, const OwnerToken& token = owner, wire::PacketT packet = {})
+    void deliver(PacketKind kind, Millis now, const OwnerToken& token = owner, wire::PacketT packet = {})
     {
         packet.kind = kind;
         packet.flow = flowId;
@@ -45,12 +45,12 @@
         flow.receive(*reader.next()->frame->body_as_Packet(), now);
     }
 
-    void saySegment(std::uint32_t sequence, std::uint8_t byte, Millis now, const OwnerToken& token = owner)
+    void deliverSegment(std::uint32_t sequence, std::uint8_t byte, Millis now, const OwnerToken& token = owner)
     {
         wire::PacketT packet;
         packet.sequence = sequence;
         packet.payload = { byte };
-        say(PacketKind::Segment, now, token, std::move(packet));
+        deliver(PacketKind::Segment, now, token, std::move(packet));
     }
 
     void reset(RefusalReason reason, Millis now, const OwnerToken& token = owner)
@@ -58,13 +58,13 @@
         wire::PacketT packet;
         packet.reason = static_cast<std::uint8_t>(reason);
         packet.retry_after = 30;
-        say(PacketKind::Reset, now, token, std::move(packet));
+        deliver(PacketKind::Reset, now, token, std::move(packet));
     }
 
     void open()
     {
         take(0);
-        say(PacketKind::Opened, 1);
+        deliver(PacketKind::Opened, 1);
     }
 };
 
@@ -76,14 +76,14 @@
     CPPUNIT_TEST_SUITE(TestCallerFlow);
     CPPUNIT_TEST(openIsRepeatedWithBackOffUntilAnswered);
     CPPUNIT_TEST(unansweredOpenIsGivenUp);
-    CPPUNIT_TEST(secondOwnerIsToldToClose);
+    CPPUNIT_TEST(secondOwnerIsSentAClose);
     CPPUNIT_TEST(segmentsCarryTheOwnerAndAreAcknowledged);
     CPPUNIT_TEST(silentFlowIsGivenUp);
     CPPUNIT_TEST(probedFlowStaysWhileAnswered);
     CPPUNIT_TEST(lostProbesAreRepeatedSoon);
     CPPUNIT_TEST(resetsEndAFlowByTheirReason);
-    CPPUNIT_TEST(strangersResetAndSegmentsAreIgnored);
-    CPPUNIT_TEST(closeTellsTheOwner);
+    CPPUNIT_TEST(packetsOfOtherOwnersAreIgnored);
+    CPPUNIT_TEST(closeIsSentToTheOwner);
     CPPUNIT_TEST_SUITE_END();
 
     void openIsRepeatedWithBackOffUntilAnswered()
@@ -98,7 +98,7 @@
             }
         }
         CPPUNIT_ASSERT((sent == std::vector<Millis> { 0, 150, 450, 1050 }));
-        peer.say(PacketKind::Opened, 2000);
+        peer.deliver(PacketKind::Opened, 2000);
         CPPUNIT_ASSERT(peer.flow.owner() == owner);
         CPPUNIT_ASSERT(peer.take(2400).empty());
     }
@@ -109,19 +109,19 @@
         peer.take(0);
         peer.take(6000);
         CPPUNIT_ASSERT(peer.flow.end() == CallerFlowEnd::Unanswered);
-        CPPUNIT_ASSERT(!isBreak(peer.flow.end()));
+        CPPUNIT_ASSERT(!isUnexpectedLoss(peer.flow.end()));
         CPPUNIT_ASSERT(!peer.flow.nextDue());
     }
 
     // Two balancers with different rankings pass copies of an open packet to two agents, and both answer. If the second
     // answer changed the owner, segments would go to an agent that never got the request; if it were ignored, that agent
     // would hold an unused flow.
-    void secondOwnerIsToldToClose()
+    void secondOwnerIsSentAClose()
     {
         Peer peer;
         peer.open();
-        peer.say(PacketKind::Opened, 2, other);
-        peer.say(PacketKind::Opened, 2);
+        peer.deliver(PacketKind::Opened, 2, other);
+        peer.deliver(PacketKind::Opened, 2);
         CPPUNIT_ASSERT(peer.flow.owner() == owner);
         const auto packets = peer.take(3);
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, packets.size());
@@ -135,12 +135,12 @@
         Peer peer;
         CPPUNIT_ASSERT(peer.flow.send({ 1 }));
         CPPUNIT_ASSERT(peer.kinds(0) == Kinds { PacketKind::Open });
-        peer.say(PacketKind::Opened, 1);
+        peer.deliver(PacketKind::Opened, 1);
         const auto packets = peer.take(1);
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, packets.size());
         CPPUNIT_ASSERT_EQUAL(owner.upstream, packets[0]->owner_upstream);
         CPPUNIT_ASSERT_EQUAL(std::uint32_t { 1 }, packets[0]->sequence);
-        peer.saySegment(1, 77, 2);
+        peer.deliverSegment(1, 77, 2);
         CPPUNIT_ASSERT(*peer.flow.takeDelivered() == Bytes { 77 });
         const auto acks = peer.take(2);
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, acks.size());
@@ -158,7 +158,7 @@
         for (; peer.flow.state() == FlowState::Open && now < 20000; now += 10)
             probes += static_cast<Millis>(peer.take(now).size());
         CPPUNIT_ASSERT(peer.flow.end() == CallerFlowEnd::Silent);
-        CPPUNIT_ASSERT(isBreak(peer.flow.end()));
+        CPPUNIT_ASSERT(isUnexpectedLoss(peer.flow.end()));
         CPPUNIT_ASSERT(now >= 8000 && now < 8100);
         CPPUNIT_ASSERT(probes >= 3);
     }
@@ -171,7 +171,7 @@
         for (Millis now = 1; now < 60000; now += 10) {
             for (const auto& packet : peer.take(now)) {
                 CPPUNIT_ASSERT(packet->kind == PacketKind::Ack);
-                peer.say(PacketKind::Ack, now + 2);
+                peer.deliver(PacketKind::Ack, now + 2);
                 ++probes;
             }
         }
@@ -192,7 +192,7 @@
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t { 3 }, probedAt.size());
         CPPUNIT_ASSERT(probedAt[2] - probedAt[0] < 1000);
-        peer.say(PacketKind::Ack, probedAt[2]);
+        peer.deliver(PacketKind::Ack, probedAt[2]);
         CPPUNIT_ASSERT(peer.take(probedAt[2] + 1900).empty());
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, peer.take(probedAt[2] + 2010).size());
     }
@@ -227,27 +227,27 @@
     // One copy of an open packet is reset by a balancer that knows no upstream yet, while another copy opens the flow. The
     // late reset, and packets of an agent that does not own the flow, must be ignored: a segment of that agent would be
     // delivered as part of the owner's answer.
-    void strangersResetAndSegmentsAreIgnored()
+    void packetsOfOtherOwnersAreIgnored()
     {
         Peer peer;
         peer.open();
         peer.reset(RefusalReason::NoUpstream, 5, {});
         peer.reset(RefusalReason::FlowUnknown, 5, other);
-        peer.saySegment(1, 66, 5, other);
+        peer.deliverSegment(1, 66, 5, other);
         CPPUNIT_ASSERT(peer.flow.state() == FlowState::Open);
         CPPUNIT_ASSERT(!peer.flow.takeDelivered());
-        peer.saySegment(1, 77, 6);
+        peer.deliverSegment(1, 77, 6);
         CPPUNIT_ASSERT(*peer.flow.takeDelivered() == Bytes { 77 });
     }
 
-    void closeTellsTheOwner()
+    void closeIsSentToTheOwner()
     {
         Peer peer;
         peer.open();
         peer.flow.close();
         CPPUNIT_ASSERT(peer.kinds(2) == Kinds { PacketKind::Close });
         CPPUNIT_ASSERT(peer.flow.end() == CallerFlowEnd::ClosedHere);
-        peer.say(PacketKind::Opened, 3, other);
+        peer.deliver(PacketKind::Opened, 3, other);
         CPPUNIT_ASSERT(peer.kinds(3) == Kinds { PacketKind::Close });
     }
 };
--- a/tests/caller/testcallprogress.cpp
+++ b/tests/caller/testcallprogress.cpp
@@ -10,8 +10,8 @@
 constexpr OwnerToken second { .upstream = 2, .incarnation = 1 };
 
 /// A call with a full retry budget.
-struct Story {
-    explicit Story(bool idempotent)
+struct TestCall {
+    explicit TestCall(bool idempotent)
     {
         progress.idempotent = idempotent;
         progress.deadline = 10000;
@@ -22,7 +22,7 @@
     {
         ++progress.tries;
         last = result;
-        return noteTryEnd(progress, budget, options, result, owner, 100).retry;
+        return recordTryEnd(progress, budget, options, result, owner, 100).retry;
     }
 
     CallOutcome outcome() const { return outcomeAfter(progress, last); }
@@ -42,18 +42,18 @@
 
 class TestCallProgress : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(TestCallProgress);
-    CPPUNIT_TEST(notRunIsRetriedAndTrue);
-    CPPUNIT_TEST(lostFilingNamesItsEarlierOwner);
-    CPPUNIT_TEST(cutOffUploadHasNotRun);
-    CPPUNIT_TEST(laterNotRunDoesNotSpeakForAnEarlierOwner);
-    CPPUNIT_TEST(begunStreamIsNotBegunAgain);
-    CPPUNIT_TEST(givenUpOutcomes);
-    CPPUNIT_TEST(agentIsGivenLessTime);
+    CPPUNIT_TEST(requestNotRunIsRetried);
+    CPPUNIT_TEST(retryListsEarlierOwners);
+    CPPUNIT_TEST(incompleteRequestHasNotRun);
+    CPPUNIT_TEST(laterNotRunDoesNotCoverAnEarlierOwner);
+    CPPUNIT_TEST(startedStreamIsNotRestarted);
+    CPPUNIT_TEST(outcomesOfAbandonedCalls);
+    CPPUNIT_TEST(agentGetsAShorterDeadline);
     CPPUNIT_TEST_SUITE_END();
 
-    void notRunIsRetriedAndTrue()
+    void requestNotRunIsRetried()
     {
-        Story filing(false);
+        TestCall filing(false);
         CPPUNIT_ASSERT(filing.retries(refused(Ran::No, RefusalReason::QueueFull), first));
         CPPUNIT_ASSERT(filing.progress.earlier.empty());
         CPPUNIT_ASSERT(filing.outcome() == CallOutcome::RefusedNotRun);
@@ -63,22 +63,22 @@
 
     // A request that is not idempotent was sent completely when its flow went silent. Its owner may have run it, so every
     // later try must list that owner as an earlier one; otherwise the request could run twice.
-    void lostFilingNamesItsEarlierOwner()
+    void retryListsEarlierOwners()
     {
-        Story filing(false);
+        TestCall filing(false);
         CPPUNIT_ASSERT(filing.retries(attemptLostWithFlow(RefusalReason::FlowSilent, 0, true), first));
         CPPUNIT_ASSERT((filing.progress.earlier == std::vector<OwnerToken> { first }));
         CPPUNIT_ASSERT(filing.retries(attemptLostWithFlow(RefusalReason::OwnerGone, 0, true), second));
         CPPUNIT_ASSERT((filing.progress.earlier == std::vector<OwnerToken> { first, second }));
         CPPUNIT_ASSERT(!filing.retries(refused(Ran::Unknown, RefusalReason::EarlierAttemptUnknown), second));
         CPPUNIT_ASSERT(filing.outcome() == CallOutcome::OutcomeUnknown);
-        Story refusedUnknown(false);
+        TestCall refusedUnknown(false);
         CPPUNIT_ASSERT(!refusedUnknown.retries(refused(Ran::Unknown, RefusalReason::UpstreamLost), first));
     }
 
-    void cutOffUploadHasNotRun()
+    void incompleteRequestHasNotRun()
     {
-        Story filing(false);
+        TestCall filing(false);
         CPPUNIT_ASSERT(filing.retries(attemptLostWithFlow(RefusalReason::OwnerGone, 0, false), first));
         CPPUNIT_ASSERT(filing.progress.earlier.empty());
         CPPUNIT_ASSERT(filing.outcome() == CallOutcome::RefusedNotRun);
@@ -86,24 +86,24 @@
 
     // A request is lost with its flow, and its retry is refused as not run because the second upstream's queue is full. The
     // first owner may have run it: if the outcome were "not run", the end user would repeat it and it could run twice.
-    void laterNotRunDoesNotSpeakForAnEarlierOwner()
+    void laterNotRunDoesNotCoverAnEarlierOwner()
     {
-        Story filing(false);
+        TestCall filing(false);
         filing.retries(attemptLostWithFlow(RefusalReason::FlowSilent, 0, true), first);
         filing.retries(refused(Ran::No, RefusalReason::QueueFull), second);
         CPPUNIT_ASSERT(filing.outcome() == CallOutcome::OutcomeUnknown);
-        CPPUNIT_ASSERT(outcomeGivenUp(filing.progress, true, false) == CallOutcome::OutcomeUnknown);
+        CPPUNIT_ASSERT(outcomeOfAbandonedCall(filing.progress, true, false) == CallOutcome::OutcomeUnknown);
     }
 
-    void begunStreamIsNotBegunAgain()
+    void startedStreamIsNotRestarted()
     {
-        Story feed(true);
+        TestCall feed(true);
         feed.progress.streamBegan = true;
         CPPUNIT_ASSERT(!feed.retries(attemptLostWithFlow(RefusalReason::OwnerGone, 0, true), first));
         CPPUNIT_ASSERT(feed.outcome() == CallOutcome::StreamBroken);
     }
 
-    void givenUpOutcomes()
+    void outcomesOfAbandonedCalls()
     {
         struct Row {
             bool idempotent;
@@ -121,10 +121,10 @@
             { false, false, false, CallOutcome::Cancelled },
         };
         for (const Row& row : rows)
-            CPPUNIT_ASSERT(outcomeGivenUp(Story(row.idempotent).progress, row.byDeadline, row.bodySent) == row.outcome);
+            CPPUNIT_ASSERT(outcomeOfAbandonedCall(TestCall(row.idempotent).progress, row.byDeadline, row.bodySent) == row.outcome);
     }
 
-    void agentIsGivenLessTime()
+    void agentGetsAShorterDeadline()
     {
         CPPUNIT_ASSERT_EQUAL(Millis { 9950 }, agentDeadline(10000));
         CPPUNIT_ASSERT_EQUAL(Millis { 90 }, agentDeadline(100));
--- a/tests/caller/testrequestcall.cpp
+++ b/tests/caller/testrequestcall.cpp
@@ -21,7 +21,7 @@
         head.body_length = body.size();
         head.body_hash = bodyHashOf(body);
         const Bytes bytes = encodeMessageOf(head);
-        assembly.takeHead(*decodeMessage(bytes)->body_as_AnswerHead());
+        assembly.receiveHead(*decodeMessage(bytes)->body_as_AnswerHead());
     }
 
     std::string chunk(std::uint64_t offset, std::string_view text)
@@ -30,7 +30,7 @@
         chunk.offset = offset;
         chunk.bytes.assign(text.begin(), text.end());
         const Bytes bytes = encodeMessageOf(std::move(chunk));
-        return std::string(assembly.takeChunk(*decodeMessage(bytes)->body_as_AnswerChunk()));
+        return std::string(assembly.receiveChunk(*decodeMessage(bytes)->body_as_AnswerChunk()));
     }
 
     AnswerAssembly assembly;
@@ -42,8 +42,8 @@
     CPPUNIT_TEST_SUITE(TestRequestCall);
     CPPUNIT_TEST(requestIsCutIntoHeadAndChunks);
     CPPUNIT_TEST(wholeAnswerIsDelivered);
-    CPPUNIT_TEST(crossedAndCutAnswersAreNot);
-    CPPUNIT_TEST(streamMustContinue);
+    CPPUNIT_TEST(invalidAnswersAreRejected);
+    CPPUNIT_TEST(streamChunksMustBeContiguous);
     CPPUNIT_TEST(ordinaryAnswerToAStreamRequest);
     CPPUNIT_TEST_SUITE_END();
 
@@ -81,7 +81,7 @@
 
     // Answers on one flow may be mixed up, or truncated when the agent fails, and the caller would get a wrong or partial
     // body. Each row makes an answer invalid in one way; none may be accepted as complete.
-    void crossedAndCutAnswersAreNot()
+    void invalidAnswersAreRejected()
     {
         struct Row {
             AnswerFault fault;
@@ -104,7 +104,7 @@
         }
     }
 
-    void streamMustContinue()
+    void streamChunksMustBeContiguous()
     {
         Answer feed(true);
         feed.head("", true);
--- a/tests/ctl/testcommands.cpp
+++ b/tests/ctl/testcommands.cpp
@@ -24,23 +24,23 @@
 }
 
 /// The platform and daemons that the tool connects to. They run in a separate thread, since the tool's commands block.
-class Surroundings {
+class TestEnvironment {
 public:
-    Surroundings()
+    TestEnvironment()
         : m_work(m_context.get_executor())
         , m_platform(PlatformServer::listen(m_context, anyPort))
         , m_thread([this] { m_context.run(); })
     {
     }
 
-    ~Surroundings()
+    ~TestEnvironment()
     {
         m_context.stop();
         m_thread.join();
     }
 
-    Surroundings(const Surroundings&) = delete;
-    Surroundings& operator=(const Surroundings&) = delete;
+    TestEnvironment(const TestEnvironment&) = delete;
+    TestEnvironment& operator=(const TestEnvironment&) = delete;
 
     /// Runs an action in that thread and waits for it.
     template <typename Action>
@@ -100,13 +100,13 @@
     CPPUNIT_TEST(everyFailureHasItsExitCode);
     CPPUNIT_TEST(waitNamesTheDaemonsThatLag);
     CPPUNIT_TEST(waitEndsWhenInForceEverywhere);
-    CPPUNIT_TEST(explainAsksADaemon);
-    CPPUNIT_TEST(forgottenDaemonIsAskedNoMore);
+    CPPUNIT_TEST(explainQueriesADaemon);
+    CPPUNIT_TEST(removedDaemonIsNotQueried);
     CPPUNIT_TEST(traceOrdersLinesOfOneFlow);
     CPPUNIT_TEST(openingsAreCountedBySpan);
     CPPUNIT_TEST_SUITE_END();
 
-    std::unique_ptr<Surroundings> m_around;
+    std::unique_ptr<TestEnvironment> m_environment;
     CtlOptions m_options;
     std::string m_path;
 
@@ -127,8 +127,8 @@
 public:
     void setUp() override
     {
-        m_around = std::make_unique<Surroundings>();
-        m_options = { .platform = m_around->platform(), .timeout = 3000 };
+        m_environment = std::make_unique<TestEnvironment>();
+        m_options = { .platform = m_environment->platform(), .timeout = 3000 };
         std::string path = "/tmp/kingcuptrailctl-test-XXXXXX";
         close(mkstemp(path.data()));
         m_path = path;
@@ -138,7 +138,7 @@
     void tearDown() override
     {
         unlink(m_path.c_str());
-        m_around.reset();
+        m_environment.reset();
     }
 
 private:
@@ -182,10 +182,10 @@
         run(ExitCode::AllOut, { "take-out", "north" });
         run(ExitCode::NotExplained, { "explain", "zip" });
         run(ExitCode::UnknownDaemon, { "forget", "zip" });
-        m_around->at([](PlatformServer& platform) { platform.store().put(manifestKind, manifestName, "{}", platform.store().get(manifestKind, manifestName)->version); });
+        m_environment->at([](PlatformServer& platform) { platform.store().put(manifestKind, manifestName, "{}", platform.store().get(manifestKind, manifestName)->version); });
         run(ExitCode::BadManifest, { "apply", m_path });
         run(ExitCode::BadManifest, { "diff", m_path });
-        m_around->at([](PlatformServer& platform) { platform.setFaults({ .down = true }); });
+        m_environment->at([](PlatformServer& platform) { platform.setFaults({ .down = true }); });
         m_options.timeout = 100;
         run(ExitCode::PlatformUnreachable, { "apply", m_path });
         run(ExitCode::PlatformUnreachable, { "status" });
@@ -195,10 +195,10 @@
     // change as accepted.
     void waitNamesTheDaemonsThatLag()
     {
-        m_around->addDaemon("quick", std::nullopt);
-        m_around->addDaemon("stuck", 0);
-        const auto gone = m_around->addDaemon("gone", std::nullopt);
-        m_around->at([&gone](PlatformServer& platform) {
+        m_environment->addDaemon("quick", std::nullopt);
+        m_environment->addDaemon("stuck", 0);
+        const auto gone = m_environment->addDaemon("gone", std::nullopt);
+        m_environment->at([&gone](PlatformServer& platform) {
             const json entry { { "name", "gone" }, { "admin", textOf(gone).substr(0, textOf(gone).find(':')) + ":1" } };
             platform.store().put("daemon", "gone", entry.dump(), platform.store().get("daemon", "gone")->version);
         });
@@ -216,26 +216,26 @@
     void waitEndsWhenInForceEverywhere()
     {
         for (int index = 0; index < 100; ++index)
-            m_around->addDaemon(std::string("d").append(std::to_string(index)), std::nullopt);
+            m_environment->addDaemon(std::string("d").append(std::to_string(index)), std::nullopt);
         m_options.wait = true;
         const json result = run(ExitCode::Success, { "apply", m_path });
         CPPUNIT_ASSERT_EQUAL(100U, result.at("daemons").get<unsigned>());
         CPPUNIT_ASSERT_EQUAL(std::size_t { 100 }, run(ExitCode::Success, { "status" }).at("daemons").size());
     }
 
-    void explainAsksADaemon()
+    void explainQueriesADaemon()
     {
-        m_options.daemon = m_around->addDaemon("a", std::nullopt);
+        m_options.daemon = m_environment->addDaemon("a", std::nullopt);
         const json result = run(ExitCode::Success, { "explain", "queueFull" });
         CPPUNIT_ASSERT_EQUAL(3U, result.at("counts").at("kct_refusals").get<unsigned>());
         CPPUNIT_ASSERT_EQUAL(std::string("linkLost"), result.at("lastReasons").at(0).at("lastReason").get<std::string>());
-        m_around->dropDaemons();
+        m_environment->dropDaemons();
         run(ExitCode::DaemonUnreachable, { "explain", "queueFull" });
     }
 
-    void forgottenDaemonIsAskedNoMore()
+    void removedDaemonIsNotQueried()
     {
-        m_around->addDaemon("old", 0);
+        m_environment->addDaemon("old", 0);
         run(ExitCode::Success, { "apply", m_path });
         run(ExitCode::DaemonsLag, { "status" });
         run(ExitCode::Success, { "forget", "old" });
--- a/tests/histories/testhistories.cpp
+++ b/tests/histories/testhistories.cpp
@@ -48,7 +48,7 @@
     { GuardOff::Return, Promise::FlowSurvives, 257 },
 } };
 
-bool breaks(const SeededHistory& history, Promise promise)
+bool hasViolation(const SeededHistory& history, Promise promise)
 {
     return std::ranges::any_of(history.result.violations, [&](const Violation& violation) { return violation.promise == promise; });
 }
@@ -68,19 +68,19 @@
 // centres are taken out of service and return.
 class TestHistories : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(TestHistories);
-    CPPUNIT_TEST(fixedSeedsKeepEveryPromise);
-    CPPUNIT_TEST(seedsThatShowedFaultsKeepEveryPromise);
+    CPPUNIT_TEST(fixedSeedsViolateNothing);
+    CPPUNIT_TEST(seedsWithFormerFaultsViolateNothing);
     CPPUNIT_TEST(checkerFindsWhatEachGuardPrevents);
     CPPUNIT_TEST(aSeedReproducesTheOrderOfEvents);
     CPPUNIT_TEST_SUITE_END();
 
-    void fixedSeedsKeepEveryPromise()
+    void fixedSeedsViolateNothing()
     {
         for (std::uint64_t seed = 1; seed <= fixedSeeds; ++seed)
             expectNoViolation(seed);
     }
 
-    void seedsThatShowedFaultsKeepEveryPromise()
+    void seedsWithFormerFaultsViolateNothing()
     {
         std::ranges::for_each(seedsWithFaults, expectNoViolation);
     }
@@ -90,7 +90,7 @@
         for (const GuardCase& guardCase : guardCases) {
             bool isFound = false;
             for (std::uint64_t seed = guardCase.firstSeed; !isFound && seed < guardCase.firstSeed + seedsUntilFound; ++seed)
-                isFound = breaks(runSeededHistory(seed, guardCase.guard), guardCase.promise);
+                isFound = hasViolation(runSeededHistory(seed, guardCase.guard), guardCase.promise);
             CPPUNIT_ASSERT_MESSAGE(std::string(nameOf(guardCase.guard)), isFound);
         }
     }
--- a/tests/histories/testlonghistories.cpp
+++ b/tests/histories/testlonghistories.cpp
@@ -11,7 +11,7 @@
 constexpr std::uint64_t seeds = 10000;
 constexpr std::uint64_t workers = 4;
 
-std::string firstFault(std::uint64_t worker)
+std::string firstViolation(std::uint64_t worker)
 {
     for (std::uint64_t seed = firstSeed + worker; seed < firstSeed + seeds; seed += workers) {
         const SeededHistory history = runSeededHistory(seed);
@@ -26,14 +26,14 @@
 // The same as TestHistories with many more seeds, for combinations of faults that occur once in thousands of histories.
 class TestLongHistories : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(TestLongHistories);
-    CPPUNIT_TEST(everySeedKeepsEveryPromise);
+    CPPUNIT_TEST(everySeedViolatesNothing);
     CPPUNIT_TEST_SUITE_END();
 
-    void everySeedKeepsEveryPromise()
+    void everySeedViolatesNothing()
     {
         std::vector<std::future<std::string>> faults;
         for (std::uint64_t worker = 0; worker < workers; ++worker)
-            faults.push_back(std::async(std::launch::async, firstFault, worker));
+            faults.push_back(std::async(std::launch::async, firstViolation, worker));
         for (auto& fault : faults)
             CPPUNIT_ASSERT_EQUAL(std::string(), fault.get());
     }
--- a/tests/history/testchecker.cpp
+++ b/tests/history/testchecker.cpp
@@ -9,12 +9,12 @@
 namespace {
 
 /// A history that breaks one promise, and a variant that differs in a few lines and breaks none.
-struct Twin {
+struct CheckerCase {
     Promise promise;
-    const char* story;
+    const char* description;
     const char* common;
-    const char* broken;
-    const char* repaired;
+    const char* invalid;
+    const char* valid;
 };
 
 // One event per line: time, who, event, then fields as name=value. `settle` is 3000 ms and `configBound` 5000 ms.
@@ -28,7 +28,7 @@
 20 run configInForce process=a1 version=1
 )";
 
-const Twin twins[] = {
+const CheckerCase checkerCases[] = {
     { Promise::FlowSurvives, "A balancer is killed, and a flow breaks although its agent lives.",
         "100 c1 flowOpened flow=5 service=board upstreamId=1\n200 run processKilled process=b1 role=balancer",
         "300 c1 flowBroken flow=5 reason=flowUnknown", "300 c1 flowClosed flow=5" },
@@ -144,9 +144,9 @@
     return events;
 }
 
-std::string describe(const Twin& twin, const CheckResult& result)
+std::string describe(const CheckerCase& checkerCase, const CheckResult& result)
 {
-    std::string text = twin.story;
+    std::string text = checkerCase.description;
     for (const Violation& violation : result.violations)
         text.append("\n  ").append(nameOf(violation.promise)).append(": ").append(violation.text);
     return text;
@@ -156,34 +156,34 @@
 
 class TestChecker : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(TestChecker);
-    CPPUNIT_TEST(brokenPromisesAreFound);
-    CPPUNIT_TEST(repairedTwinsPass);
-    CPPUNIT_TEST(everyPromiseHasATwin);
+    CPPUNIT_TEST(violationsAreFound);
+    CPPUNIT_TEST(validHistoriesPass);
+    CPPUNIT_TEST(everyPromiseHasACase);
     CPPUNIT_TEST(summaryCounts);
     CPPUNIT_TEST_SUITE_END();
 
-    void brokenPromisesAreFound()
+    void violationsAreFound()
     {
-        for (const Twin& twin : twins) {
-            const auto result = checkHistory(historyOf(twin.common, twin.broken));
-            CPPUNIT_ASSERT_MESSAGE(describe(twin, result), result.violations.size() == 1);
-            CPPUNIT_ASSERT_MESSAGE(describe(twin, result), result.violations[0].promise == twin.promise);
-            CPPUNIT_ASSERT_MESSAGE(describe(twin, result), !result.violations[0].events.empty());
+        for (const CheckerCase& checkerCase : checkerCases) {
+            const auto result = checkHistory(historyOf(checkerCase.common, checkerCase.invalid));
+            CPPUNIT_ASSERT_MESSAGE(describe(checkerCase, result), result.violations.size() == 1);
+            CPPUNIT_ASSERT_MESSAGE(describe(checkerCase, result), result.violations[0].promise == checkerCase.promise);
+            CPPUNIT_ASSERT_MESSAGE(describe(checkerCase, result), !result.violations[0].events.empty());
         }
     }
 
-    void repairedTwinsPass()
+    void validHistoriesPass()
     {
-        for (const Twin& twin : twins) {
-            const auto result = checkHistory(historyOf(twin.common, twin.repaired));
-            CPPUNIT_ASSERT_MESSAGE(describe(twin, result), result.violations.empty());
+        for (const CheckerCase& checkerCase : checkerCases) {
+            const auto result = checkHistory(historyOf(checkerCase.common, checkerCase.valid));
+            CPPUNIT_ASSERT_MESSAGE(describe(checkerCase, result), result.violations.empty());
         }
     }
 
-    void everyPromiseHasATwin()
+    void everyPromiseHasACase()
     {
         for (std::size_t number = 0; number < EnumNames<Promise>::names.size(); ++number)
-            CPPUNIT_ASSERT(std::ranges::any_of(twins, [&](const Twin& twin) { return twin.promise == static_cast<Promise>(number); }));
+            CPPUNIT_ASSERT(std::ranges::any_of(checkerCases, [&](const CheckerCase& checkerCase) { return checkerCase.promise == static_cast<Promise>(number); }));
     }
 
     void summaryCounts()
--- a/tests/history/testhistory.cpp
+++ b/tests/history/testhistory.cpp
@@ -10,7 +10,7 @@
 class TestHistory : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(TestHistory);
     CPPUNIT_TEST(everyFieldIsReadBack);
-    CPPUNIT_TEST(badLinesAreTyped);
+    CPPUNIT_TEST(invalidLinesAreClassified);
     CPPUNIT_TEST(filesAreMergedByTime);
     CPPUNIT_TEST_SUITE_END();
 
@@ -28,7 +28,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string(R"({"event":"requestSent","t":1,"who":"c"})"), toJsonLine({ .at = 1, .who = "c" }));
     }
 
-    void badLinesAreTyped()
+    void invalidLinesAreClassified()
     {
         const std::vector<std::pair<const char*, HistoryError>> cases {
             { "{", HistoryError::NotJson },
