--- a/bench/benchmarks/benchagent.cpp
+++ b/bench/benchmarks/benchagent.cpp
@@ -20,8 +20,8 @@
 {
     RandomSource random(1);
     std::unordered_map<FlowId, ServiceAddress> flows;
-    const auto held = static_cast<std::size_t>(state.range(0));
-    while (flows.size() < held)
+    const auto entryCount = static_cast<std::size_t>(state.range(0));
+    while (flows.size() < entryCount)
         flows.emplace(random.id(), 1);
     ClosedFlows closed;
     Millis now = 0;
@@ -59,19 +59,19 @@
 /// Begins and settles one once-only key in a ledger that holds the given number of settled keys.
 void beginAndSettle(benchmark::State& state)
 {
-    const auto held = static_cast<std::size_t>(state.range(0));
-    const LedgerOptions options { .maxEntries = held };
+    const auto entryCount = static_cast<std::size_t>(state.range(0));
+    const LedgerOptions options { .maxEntries = entryCount };
     Ledger ledger;
     std::uint64_t key = 0;
     Millis now = 0;
     const auto runOne = [&] {
         const std::string text = "filing-" + std::to_string(++key);
-        now += options.retention / static_cast<Millis>(held) + 1;
+        now += options.retention / static_cast<Millis>(entryCount) + 1;
         expireLedger(ledger, options, now);
         benchmark::DoNotOptimize(beginWork(ledger, options, text, now));
         settleWork(ledger, options, text, LedgerState::Ran, now);
     };
-    while (key < held)
+    while (key < entryCount)
         runOne();
     for (auto _ : state)
         runOne();
--- a/bench/kingcuptrail-bench/admissionreport.cpp
+++ b/bench/kingcuptrail-bench/admissionreport.cpp
@@ -14,15 +14,15 @@
     /// Long enough for a standing queue to build up, in milliseconds.
     constexpr Millis duration = 8000;
 
-    double partOf(std::uint32_t count, std::uint32_t asked)
+    double fractionOf(std::uint32_t count, std::uint32_t asked)
     {
         return asked > 0 ? static_cast<double>(count) / asked : 0;
     }
 
     /// The answered requests as a percentage of capacity.
-    double percentDone(std::uint32_t count, const AdmissionRow& row)
+    double percentOfCapacity(std::uint32_t count, const AdmissionRow& row)
     {
-        return 100 * row.load * partOf(count, row.outcome.asked);
+        return 100 * row.load * fractionOf(count, row.outcome.asked);
     }
 
     void addLines(SvgPlot& plot, const std::vector<AdmissionRow>& rows, AdmissionOrder order)
@@ -32,8 +32,8 @@
         for (const AdmissionRow& row : rows) {
             if (row.order != order)
                 continue;
-            inTime.values.push_back(percentDone(row.outcome.inTime, row));
-            late.values.push_back(percentDone(row.outcome.late, row));
+            inTime.values.push_back(percentOfCapacity(row.outcome.inTime, row));
+            late.values.push_back(percentOfCapacity(row.outcome.late, row));
         }
         plot.lines.push_back(std::move(inTime));
         plot.lines.push_back(std::move(late));
@@ -62,7 +62,7 @@
         const AdmissionOutcome& outcome = row.outcome;
         std::array<char, 80> line {};
         std::snprintf(line.data(), line.size(), "%4.2f  %-15s    %5.3f  %5.3f  %5.3f\n", row.load, std::string(nameOf(row.order)).c_str(),
-            partOf(outcome.inTime, outcome.asked), partOf(outcome.late, outcome.asked), partOf(outcome.lost, outcome.asked));
+            fractionOf(outcome.inTime, outcome.asked), fractionOf(outcome.late, outcome.asked), fractionOf(outcome.lost, outcome.asked));
         out += line.data();
     }
     return out;
--- a/bench/kingcuptrail-bench/main.cpp
+++ b/bench/kingcuptrail-bench/main.cpp
@@ -70,7 +70,7 @@
             std::cout << "    " << toJsonLine(event) << '\n';
     }
 
-    ExitCode runHistories(std::uint64_t count, std::uint64_t firstSeed, GuardOff guard)
+    ExitCode runHistories(std::uint64_t count, std::uint64_t firstSeed, DisabledGuard guard)
     {
         std::uint64_t broken = 0;
         std::uint64_t events = 0;
@@ -126,7 +126,7 @@
                                  "  kingcuptrail-bench --histories=N [--seed=S] [--without=GUARD] [--verbose]\n"
                                  "  kingcuptrail-bench --admission [--seed=S] [--svg=FILE]");
     const std::vector<char*> arguments = absl::ParseCommandLine(argc, argv);
-    const auto guard = kingcuptrail::fromName<kingcuptrail::GuardOff>(absl::GetFlag(FLAGS_without));
+    const auto guard = kingcuptrail::fromName<kingcuptrail::DisabledGuard>(absl::GetFlag(FLAGS_without));
     if (const std::uint64_t count = absl::GetFlag(FLAGS_histories); count > 0 && guard)
         return static_cast<int>(kingcuptrail::runHistories(count, std::max<std::uint64_t>(1, absl::GetFlag(FLAGS_seed)), *guard));
     if (absl::GetFlag(FLAGS_admission))
--- a/bench/kingcuptrail-bench/report.cpp
+++ b/bench/kingcuptrail-bench/report.cpp
@@ -38,10 +38,10 @@
         };
     }
 
-    Json secondsToJson(const std::vector<SecondOfService>& seconds)
+    Json secondsToJson(const std::vector<SecondMetrics>& seconds)
     {
         Json rows = Json::array();
-        for (const SecondOfService& second : seconds) {
+        for (const SecondMetrics& second : seconds) {
             rows.push_back({
                 { "offered", second.offered },
                 { "answered", second.answered },
@@ -60,12 +60,12 @@
         return whole > 0 ? part / whole : 0;
     }
 
-    std::uint64_t endedAs(const Metrics& metrics, RequestEnd end)
+    std::uint64_t requestsEndedAs(const Metrics& metrics, RequestEnd end)
     {
         return metrics.ended[static_cast<std::size_t>(end)];
     }
 
-    std::uint64_t brokenBy(const Metrics& metrics, BreakCause cause)
+    std::uint64_t flowsBrokenBy(const Metrics& metrics, BreakCause cause)
     {
         return metrics.broken[static_cast<std::size_t>(cause)];
     }
@@ -88,7 +88,7 @@
 
     /// The minimum, over all windows of ten seconds, of the answered requests as a fraction of those that could be answered.
     /// In each second that is the smaller of the offered requests and the capacity of the targets in service.
-    double leastService(const ExperimentSpec& experiment, const Metrics& metrics)
+    double minServiceLevel(const ExperimentSpec& experiment, const Metrics& metrics)
     {
         constexpr std::size_t window = 10;
         const std::size_t seconds = std::min(metrics.seconds.size(), static_cast<std::size_t>(experiment.duration) / 1000);
@@ -97,7 +97,7 @@
             double answered = 0;
             double possible = 0;
             for (std::size_t index = begin; index < begin + window; ++index) {
-                const SecondOfService& second = metrics.seconds[index];
+                const SecondMetrics& second = metrics.seconds[index];
                 answered += static_cast<double>(second.answered);
                 possible += std::min(static_cast<double>(second.offered), second.capacity);
             }
@@ -128,7 +128,7 @@
             { "unknownBy", countsToJson<BreakCause>(metrics.unknownBy) },
             { "refusals", countsToJson<RefusalReason>(metrics.refusals) },
             { "retryDecisions", countsToJson<RetryReason>(metrics.retryDecisions) },
-            { "doubled", metrics.doubled },
+            { "doubled", metrics.duplicateRuns },
             { "firstTries", metrics.firstTries },
             { "retries", metrics.retries },
             { "retriesPerFirstTry", retryRatio(metrics) },
@@ -142,10 +142,10 @@
             { "coldOverruns", metrics.coldOverruns },
             { "coldExcess", metrics.coldExcess },
             { "suddenColdOverruns", metrics.suddenColdOverruns },
-            { "upstreamFalls", metrics.falls },
+            { "upstreamFalls", metrics.overloadCrashes },
             { "flowsMoved", metrics.flowsMoved },
             { "goodputOfCapacity", goodputOfCapacity(experiment, metrics) },
-            { "leastServiceIn10s", leastService(experiment, metrics) },
+            { "leastServiceIn10s", minServiceLevel(experiment, metrics) },
             { "answerLatencyMs", samplesToJson(metrics.answerLatency) },
             { "refusalLatencyMs", samplesToJson(metrics.refusalLatency) },
             { "flowImbalance", samplesToJson(metrics.flowImbalance) },
@@ -165,11 +165,11 @@
         return text.data();
     }
 
-    using Figure = std::function<double(const Metrics&)>;
+    using RowValue = std::function<double(const Metrics&)>;
 
     struct Row {
         std::string name;
-        Figure figure;
+        RowValue evaluate;
     };
 
     std::vector<Row> tableRows(const ExperimentSpec& experiment)
@@ -177,18 +177,18 @@
         std::vector<Row> rows;
         for (std::size_t index = 0; index < EnumNames<BreakCause>::names.size(); ++index) {
             rows.push_back({ "broken flows: " + std::string(EnumNames<BreakCause>::names[index]),
-                [index](const Metrics& metrics) { return static_cast<double>(brokenBy(metrics, static_cast<BreakCause>(index))); } });
+                [index](const Metrics& metrics) { return static_cast<double>(flowsBrokenBy(metrics, static_cast<BreakCause>(index))); } });
         }
         for (std::size_t index = 0; index < EnumNames<RequestEnd>::names.size(); ++index) {
             rows.push_back({ "requests: " + std::string(EnumNames<RequestEnd>::names[index]),
-                [index](const Metrics& metrics) { return static_cast<double>(endedAs(metrics, static_cast<RequestEnd>(index))); } });
+                [index](const Metrics& metrics) { return static_cast<double>(requestsEndedAs(metrics, static_cast<RequestEnd>(index))); } });
         }
         const std::vector<Row> others {
-            { "unknown, data centre not out", [](const Metrics& metrics) { return static_cast<double>(endedAs(metrics, RequestEnd::Unknown) - metrics.unknownBy[static_cast<std::size_t>(BreakCause::DataCentreOut)]); } },
-            { "doubled", [](const Metrics& metrics) { return static_cast<double>(metrics.doubled); } },
+            { "unknown, data centre not out", [](const Metrics& metrics) { return static_cast<double>(requestsEndedAs(metrics, RequestEnd::Unknown) - metrics.unknownBy[static_cast<std::size_t>(BreakCause::DataCentreOut)]); } },
+            { "doubled", [](const Metrics& metrics) { return static_cast<double>(metrics.duplicateRuns); } },
             { "retries per first try", retryRatio },
             { "goodput of capacity", [&experiment](const Metrics& metrics) { return goodputOfCapacity(experiment, metrics); } },
-            { "least service in 10 s", [&experiment](const Metrics& metrics) { return leastService(experiment, metrics); } },
+            { "least service in 10 s", [&experiment](const Metrics& metrics) { return minServiceLevel(experiment, metrics); } },
             { "answer p50, ms", [](const Metrics& metrics) { return metrics.answerLatency.percentile(0.5); } },
             { "answer p99, ms", [](const Metrics& metrics) { return metrics.answerLatency.percentile(0.99); } },
             { "refusal p50, ms", [](const Metrics& metrics) { return metrics.refusalLatency.percentile(0.5); } },
@@ -202,7 +202,7 @@
             { "return to share, s, max", [](const Metrics& metrics) { return metrics.returnTime.max() / millisPerSecond; } },
             { "cold overruns", [](const Metrics& metrics) { return static_cast<double>(metrics.coldOverruns); } },
             { "sudden cold overruns", [](const Metrics& metrics) { return static_cast<double>(metrics.suddenColdOverruns); } },
-            { "upstreams fell over", [](const Metrics& metrics) { return static_cast<double>(metrics.falls); } },
+            { "upstreams fell over", [](const Metrics& metrics) { return static_cast<double>(metrics.overloadCrashes); } },
             { "flows moved by a leaver", [](const Metrics& metrics) { return static_cast<double>(metrics.flowsMoved); } },
             { "hops per packet", hopsPerPacket },
             { "duplicate opens", [](const Metrics& metrics) { return static_cast<double>(metrics.duplicateOpens); } },
@@ -243,7 +243,7 @@
         std::string line = row.name;
         line.resize(nameWidth, ' ');
         for (const PolicyResult& result : results)
-            appendCell(line, format(row.figure(result.metrics)), cellWidth);
+            appendCell(line, format(row.evaluate(result.metrics)), cellWidth);
         table += line + '\n';
     }
     return table;
--- a/bench/kingcuptrail-slopes/fakeagents.cpp
+++ b/bench/kingcuptrail-slopes/fakeagents.cpp
@@ -69,7 +69,7 @@
         PeerLink::Handlers {
             .onHello = [](const PeerIdentity&) { return std::nullopt; },
             .onPacket = [](PeerLink&, const wire::Packet&, std::span<const std::uint8_t>) {},
-            .onClosed = [&agent](PeerLink& peer, LinkError) { agent.bytesBefore += peer.link().bytesSent() + peer.link().bytesReceived(); },
+            .onClosed = [&agent](PeerLink& peer, LinkError) { agent.closedLinkBytes += peer.link().bytesSent() + peer.link().bytesReceived(); },
             .reportLoad = [] { return LoadReport { .openFlows = 1, .links = 1 }; },
             .heartbeatInterval = [] { return heartbeatBase; },
         });
@@ -81,7 +81,7 @@
     return static_cast<std::size_t>(std::count_if(m_agents.begin(), m_agents.end(), [](const auto& agent) { return agent->link && agent->link->isUp(); }));
 }
 
-std::size_t FakeAgents::atVersion(ConfigVersion version) const
+std::size_t FakeAgents::countAtVersion(ConfigVersion version) const
 {
     return static_cast<std::size_t>(std::count_if(m_agents.begin(), m_agents.end(), [&](const auto& agent) { return agent->config.version() >= version; }));
 }
@@ -90,7 +90,7 @@
 {
     std::uint64_t bytes = 0;
     for (const auto& agent : m_agents) {
-        bytes += agent->bytesBefore;
+        bytes += agent->closedLinkBytes;
         if (agent->link && agent->link->isOpen())
             bytes += agent->link->link().bytesSent() + agent->link->link().bytesReceived();
     }
--- a/bench/kingcuptrail-slopes/fakeagents.h
+++ b/bench/kingcuptrail-slopes/fakeagents.h
@@ -19,7 +19,7 @@
     /// Number of agents whose link to the balancer is up.
     std::size_t linked() const;
     /// Number of agents that have this configuration or a newer one in force.
-    std::size_t atVersion(ConfigVersion version) const;
+    std::size_t countAtVersion(ConfigVersion version) const;
     /// Bytes sent and received over all links so far.
     std::uint64_t linkBytes() const;
 
@@ -30,7 +30,7 @@
         std::unique_ptr<Listener> listener;
         std::unique_ptr<Announcer> announcer;
         std::shared_ptr<PeerLink> link;
-        std::uint64_t bytesBefore = 0;
+        std::uint64_t closedLinkBytes = 0;
     };
 
     void accept(FakeAgent& agent, std::shared_ptr<Link> link);
--- a/bench/kingcuptrail-slopes/main.cpp
+++ b/bench/kingcuptrail-slopes/main.cpp
@@ -79,15 +79,15 @@
     return calls;
 }
 
-struct Measured {
+struct Measurement {
     ProcessUsage before;
     ProcessUsage after;
     std::uint64_t bytes = 0;
-    std::vector<Millis> inForce;
+    std::vector<Millis> propagationTimes;
 };
 
 /// The result of one measurement as a JSON object; rates are per second of the measured time.
-nlohmann::json rowOf(const Measured& measured, double seconds)
+nlohmann::json toRow(const Measurement& measured, double seconds)
 {
     nlohmann::json row {
         { "peers", absl::GetFlag(FLAGS_peers) },
@@ -99,8 +99,8 @@
         { "residentMegabytes", static_cast<double>(measured.after.residentBytes) / 1e6 },
         { "linkBytesPerSecond", static_cast<double>(measured.bytes) / seconds },
     };
-    if (!measured.inForce.empty())
-        row["slowestInForceMillis"] = *std::max_element(measured.inForce.begin(), measured.inForce.end());
+    if (!measured.propagationTimes.empty())
+        row["slowestInForceMillis"] = *std::max_element(measured.propagationTimes.begin(), measured.propagationTimes.end());
     return row;
 }
 
@@ -112,7 +112,7 @@
     FakeAgents agents(context, platform, peers, services);
     std::uint32_t slots = 1;
     const ConfigVersion first = applyAndWait(context, platform, fakeConfig(services, slots));
-    if (!runUntil(context, settleLimit, [&] { return agents.linked() == peers && agents.atVersion(first) == peers; })) {
+    if (!runUntil(context, settleLimit, [&] { return agents.linked() == peers && agents.countAtVersion(first) == peers; })) {
         std::cerr << "only " << agents.linked() << " of " << peers << " links are up, or not all agents have the configuration in force\n";
         return 1;
     }
@@ -122,18 +122,18 @@
     const Millis end = start + static_cast<Millis>(absl::GetFlag(FLAGS_seconds)) * 1000;
     const std::uint32_t changes = absl::GetFlag(FLAGS_changes);
     const nlohmann::json callsBefore = platformCalls(context, platform);
-    Measured measured { .before = readUsage(pid).value_or(ProcessUsage {}), .bytes = agents.linkBytes() };
+    Measurement measured { .before = readUsage(pid).value_or(ProcessUsage {}), .bytes = agents.linkBytes() };
     for (std::uint32_t change = 0; change < changes; ++change) {
         const Millis appliedAt = clock.now();
         const ConfigVersion version = applyAndWait(context, platform, fakeConfig(services, ++slots));
-        runUntil(context, settleLimit, [&] { return agents.atVersion(version) == peers; });
-        measured.inForce.push_back(clock.now() - appliedAt);
+        runUntil(context, settleLimit, [&] { return agents.countAtVersion(version) == peers; });
+        measured.propagationTimes.push_back(clock.now() - appliedAt);
         runFor(context, std::max<Millis>((end - start) / changes - (clock.now() - appliedAt), 0));
     }
     runFor(context, std::max<Millis>(end - clock.now(), 0));
     measured.bytes = agents.linkBytes() - measured.bytes;
     measured.after = readUsage(pid).value_or(ProcessUsage {});
-    nlohmann::json row = rowOf(measured, static_cast<double>(clock.now() - start) / millisPerSecond);
+    nlohmann::json row = toRow(measured, static_cast<double>(clock.now() - start) / millisPerSecond);
     row["role"] = "balancer";
     row["platformCallsBefore"] = callsBefore;
     row["platformCallsAfter"] = platformCalls(context, platform);
@@ -157,13 +157,13 @@
     const ProcessUsage empty = readUsage(pid).value_or(ProcessUsage {});
     balancers.openFlows(service ? service->address : 0, absl::GetFlag(FLAGS_flows));
     runUntil(context, settleLimit, [&] { return balancers.openedFlows() >= absl::GetFlag(FLAGS_flows); });
-    Measured measured { .before = readUsage(pid).value_or(ProcessUsage {}), .bytes = balancers.linkBytes() };
+    Measurement measured { .before = readUsage(pid).value_or(ProcessUsage {}), .bytes = balancers.linkBytes() };
     const Clock clock;
     const Millis start = clock.now();
     runFor(context, static_cast<Millis>(absl::GetFlag(FLAGS_seconds)) * 1000);
     measured.bytes = balancers.linkBytes() - measured.bytes;
     measured.after = readUsage(pid).value_or(ProcessUsage {});
-    nlohmann::json row = rowOf(measured, static_cast<double>(clock.now() - start) / millisPerSecond);
+    nlohmann::json row = toRow(measured, static_cast<double>(clock.now() - start) / millisPerSecond);
     row["role"] = "agent";
     row["opened"] = balancers.openedFlows();
     row["linked"] = balancers.linked();
--- a/bench/libmodel/admissionmodel.cpp
+++ b/bench/libmodel/admissionmodel.cpp
@@ -12,11 +12,11 @@
 
 namespace {
 
-    constexpr Millis spanLength = 500;
+    constexpr Millis outcomeInterval = 500;
     /// Time from the admission of an opening until its request reaches the upstream, if the caller still waits.
-    constexpr Millis handshake = 5;
+    constexpr Millis handshakeTime = 5;
     /// Time for which an admitted opening occupies the agent after its caller has given up.
-    constexpr Millis abandonedWork = 50;
+    constexpr Millis abandonedTime = 50;
     constexpr Millis loadReportInterval = 200;
 
     struct ModelCaller {
@@ -34,7 +34,7 @@
         std::uint32_t atWork = 0;
         std::uint32_t running = 0;
         std::deque<std::size_t> requests;
-        double toldLoad = 0;
+        double reportedLoad = 0;
     };
 
     class AdmissionModel {
@@ -45,7 +45,7 @@
             , m_choices(options.seed + 1)
             , m_work(options.seed + 2)
             , m_servers(options.upstreams)
-            , m_outcomes(static_cast<std::size_t>((options.duration + spanLength - 1) / spanLength))
+            , m_outcomes(static_cast<std::size_t>((options.duration + outcomeInterval - 1) / outcomeInterval))
         {
             for (ModelServer& server : m_servers)
                 server.queue.options = { .waitingPerSlot = options.waitingPerSlot, .maxWait = options.maxWait };
@@ -55,7 +55,7 @@
         {
             scheduleOutage();
             scheduleNext(0);
-            tellLoads();
+            reportLoads();
             m_loop.runUntil(toMicros(m_options.duration + m_options.deadline));
             for (const ModelCaller& caller : m_callers) {
                 if (AdmissionOutcome* outcome = outcomeOf(caller); outcome && !caller.isDone)
@@ -75,7 +75,7 @@
 
         AdmissionOutcome* outcomeOf(const ModelCaller& caller)
         {
-            const Millis span = caller.askedAt / spanLength;
+            const Millis span = caller.askedAt / outcomeInterval;
             return caller.askedAt >= 0 && span < static_cast<Millis>(m_outcomes.size()) ? &m_outcomes[static_cast<std::size_t>(span)] : nullptr;
         }
 
@@ -119,46 +119,46 @@
 
         double loadOf(const ModelServer& server) const
         {
-            const bool isAllTold = m_options.news == LoadNews::AllWaiting;
-            const auto waiting = isAllTold ? server.queue.waiting.size() : countTimely(server.queue, now());
+            const bool reportsAllWaiting = m_options.loadReport == LoadReportScope::AllWaiting;
+            const auto waiting = reportsAllWaiting ? server.queue.waiting.size() : countTimely(server.queue, now());
             return server.atWork + static_cast<double>(waiting);
         }
 
-        void tellLoads()
+        void reportLoads()
         {
             for (ModelServer& server : m_servers)
-                server.toldLoad = loadOf(server);
+                server.reportedLoad = loadOf(server);
             if (now() < m_options.duration)
-                m_loop.after(toMicros(loadReportInterval), [this] { tellLoads(); });
+                m_loop.after(toMicros(loadReportInterval), [this] { reportLoads(); });
         }
 
-        std::size_t choose()
+        std::size_t chooseServer()
         {
             const std::size_t first = m_choices.below(m_servers.size());
             const std::size_t second = m_choices.below(m_servers.size());
-            return m_servers[second].toldLoad < m_servers[first].toldLoad ? second : first;
+            return m_servers[second].reportedLoad < m_servers[first].reportedLoad ? second : first;
         }
 
-        bool isGone(const ModelCaller& caller) const { return caller.isDone || now() >= caller.askedAt + m_options.deadline; }
+        bool isFinished(const ModelCaller& caller) const { return caller.isDone || now() >= caller.askedAt + m_options.deadline; }
 
         void open(std::size_t caller, std::uint32_t copies)
         {
-            if (isGone(m_callers[caller]))
+            if (isFinished(m_callers[caller]))
                 return;
-            const std::size_t index = choose();
+            const std::size_t index = chooseServer();
             ModelServer& server = m_servers[index];
             const Millis startedAt = now() - minOpeningAge(copies);
-            ModelCaller& asker = m_callers[caller];
-            asker.isAccepted = false;
-            ++asker.attempt;
-            m_loop.at(toMicros(startedAt + OpeningSchedule {}.giveUp), [this, caller, attempt = asker.attempt] { giveUp(caller, attempt); });
+            ModelCaller& modelCaller = m_callers[caller];
+            modelCaller.isAccepted = false;
+            ++modelCaller.attempt;
+            m_loop.at(toMicros(startedAt + OpeningSchedule {}.giveUp), [this, caller, attempt = modelCaller.attempt] { giveUp(caller, attempt); });
             // The address in the flow's key holds the index of the caller.
             const FlowKey flow { .caller = { .address = static_cast<std::uint32_t>(caller) } };
             const bool isQueued = enqueue(server.queue, { .flow = flow, .startedAt = startedAt, .arrivedAt = now(), .timelyUntil = startedAt + timelyWait() }, m_options.slots);
             if (!isQueued)
                 refuse(caller);
             admitWaiting(index);
-            server.toldLoad = loadOf(server);
+            server.reportedLoad = loadOf(server);
         }
 
         void giveUp(std::size_t caller, std::uint32_t attempt)
@@ -175,14 +175,14 @@
             m_loop.after(toMicros(2), [this, caller] { open(caller, 0); });
         }
 
-        const WaitingOpening* nextOf(const ModelServer& server) const
+        const WaitingOpening* peekNextOpening(const ModelServer& server) const
         {
             if (m_options.order != AdmissionOrder::Arrival)
                 return peekNext(server.queue, now());
             return server.queue.waiting.empty() ? nullptr : server.queue.waiting.data();
         }
 
-        bool hasRoom(const ModelServer& server, const WaitingOpening& opening) const
+        bool canAdmit(const ModelServer& server, const WaitingOpening& opening) const
         {
             const bool needsIdleSlot = m_options.order == AdmissionOrder::LateInIdleSlots && !isTimely(opening, now());
             return server.atWork < (needsIdleSlot ? 1.0 : m_options.workPerSlot) * m_options.slots;
@@ -193,15 +193,15 @@
             ModelServer& server = m_servers[index];
             for (const WaitingOpening& expired : removeExpired(server.queue, now()))
                 refuse(expired.flow.caller.address);
-            while (const WaitingOpening* next = nextOf(server)) {
-                if (!hasRoom(server, *next))
+            while (const WaitingOpening* next = peekNextOpening(server)) {
+                if (!canAdmit(server, *next))
                     return;
                 const std::size_t caller = next->flow.caller.address;
                 server.queue.waiting.erase(server.queue.waiting.begin() + (next - server.queue.waiting.data()));
                 ++server.atWork;
-                const bool isAbandoned = isGone(m_callers[caller]) || m_callers[caller].isAccepted;
+                const bool isAbandoned = isFinished(m_callers[caller]) || m_callers[caller].isAccepted;
                 m_callers[caller].isAccepted = true;
-                m_loop.after(toMicros(isAbandoned ? abandonedWork : handshake), [this, index, caller, isAbandoned] { isAbandoned ? release(index) : request(index, caller); });
+                m_loop.after(toMicros(isAbandoned ? abandonedTime : handshakeTime), [this, index, caller, isAbandoned] { isAbandoned ? release(index) : request(index, caller); });
             }
         }
 
@@ -224,7 +224,7 @@
                 const std::size_t caller = server.requests.front();
                 server.requests.pop_front();
                 ++server.running;
-                const double factor = now() < m_options.coldFor ? m_options.coldFactor : 1.0;
+                const double factor = now() < m_options.coldDuration ? m_options.coldFactor : 1.0;
                 const double work = m_options.meanWork * factor * (0.5 + m_work.uniform());
                 m_loop.after(static_cast<Micros>(work * microsPerMilli), [this, index, caller] { finish(index, caller); });
             }
@@ -232,10 +232,10 @@
 
         void finish(std::size_t index, std::size_t caller)
         {
-            ModelCaller& asker = m_callers[caller];
-            if (AdmissionOutcome* outcome = outcomeOf(asker); outcome && !isGone(asker))
-                ++(now() - asker.askedAt <= m_options.latencyTarget ? outcome->inTime : outcome->late);
-            asker.isDone = asker.isDone || !isGone(asker);
+            ModelCaller& modelCaller = m_callers[caller];
+            if (AdmissionOutcome* outcome = outcomeOf(modelCaller); outcome && !isFinished(modelCaller))
+                ++(now() - modelCaller.askedAt <= m_options.latencyTarget ? outcome->inTime : outcome->late);
+            modelCaller.isDone = modelCaller.isDone || !isFinished(modelCaller);
             --m_servers[index].running;
             startWork(index);
             release(index);
--- a/bench/libmodel/admissionmodel.h
+++ b/bench/libmodel/admissionmodel.h
@@ -23,13 +23,13 @@
 };
 
 /// Which waiting openings an agent includes in the load that it reports.
-enum class LoadNews : std::uint8_t {
+enum class LoadReportScope : std::uint8_t {
     AllWaiting,
     TimelyWaiting,
 };
 
 template <>
-struct EnumNames<LoadNews> {
+struct EnumNames<LoadReportScope> {
     static constexpr std::array<std::string_view, 2> names { "allWaiting", "timelyWaiting" };
 };
 
@@ -42,7 +42,7 @@
     double meanWork = 33;
     /// Factor by which cold upstreams are slower, and the time after the start during which they are cold.
     double coldFactor = 1.0;
-    Millis coldFor = 0;
+    Millis coldDuration = 0;
     Millis latencyTarget = 250;
     Millis deadline = 1500;
     std::uint32_t retries = 2;
@@ -56,7 +56,7 @@
     double lostFlowShare = 0.67;
     Millis duration = 4000;
     AdmissionOrder order = AdmissionOrder::LateInIdleSlots;
-    LoadNews news = LoadNews::TimelyWaiting;
+    LoadReportScope loadReport = LoadReportScope::TimelyWaiting;
     /// Limit of waiting openings for each slot of an agent, and the longest time that one may wait.
     std::uint32_t waitingPerSlot = AdmissionQueueOptions {}.waitingPerSlot;
     Millis maxWait = AdmissionQueueOptions {}.maxWait;
--- a/bench/libmodel/experiment.h
+++ b/bench/libmodel/experiment.h
@@ -22,9 +22,9 @@
     /// Minimum time in which the agent's warm-up raises its limit from one slot to all.
     Millis warmUp = 5000;
     /// Time that a started target needs until it can serve requests in all its slots.
-    Millis coldFor = 4000;
+    Millis coldDuration = 4000;
     /// A target crashes when it processes more than this factor times what it can serve; with 0 it only gets slower.
-    double fallOverFactor = 0;
+    double crashFactor = 0;
 };
 
 /// The hosts and paths of the modelled deployment.
@@ -57,7 +57,7 @@
     double onceShare = 0;
     Millis deadline = 2000;
     /// Mean lifetime of a flow; 0 means that flows stay open.
-    Millis flowLife = 0;
+    Millis flowLifetime = 0;
     /// Time between packets of an idle flow.
     Millis flowInterval = 10000;
     /// Fraction of the flows that carry a feed; requests use the other flows.
--- a/bench/libmodel/experimentfile.cpp
+++ b/bench/libmodel/experimentfile.cpp
@@ -11,12 +11,12 @@
 
     using Json = nlohmann::json;
 
-    constexpr double anyNumber = std::numeric_limits<double>::max();
+    constexpr double unbounded = std::numeric_limits<double>::max();
 
     /// The bounds of a numeric field; a required field has no default.
     struct NumberRule {
-        double least = 0;
-        double most = anyNumber;
+        double minimum = 0;
+        double maximum = unbounded;
         bool required = false;
     };
 
@@ -43,8 +43,8 @@
                 return;
             }
             const double read = field->get<double>();
-            if (read < rule.least || read > rule.most) {
-                fault(FaultKind::OutOfRange, name, "must be between " + std::to_string(rule.least) + " and " + std::to_string(rule.most));
+            if (read < rule.minimum || read > rule.maximum) {
+                fault(FaultKind::OutOfRange, name, "must be between " + std::to_string(rule.minimum) + " and " + std::to_string(rule.maximum));
                 return;
             }
             value = static_cast<Number>(read);
@@ -71,14 +71,14 @@
                 return;
             }
             for (std::size_t index = 0; index < field->size(); ++index)
-                read((*field)[index], placeOf(name) + "/" + std::to_string(index));
+                read((*field)[index], childPointer(name) + "/" + std::to_string(index));
         }
 
         template <typename Read>
         void object(const char* name, Read read)
         {
             if (const Json* field = find(name, true))
-                read(*field, placeOf(name));
+                read(*field, childPointer(name));
         }
 
         /// Reports every field that was not read, so that a misspelt field isn't ignored silently.
@@ -94,7 +94,7 @@
 
         void fault(FaultKind kind, const std::string& name, std::string detail)
         {
-            m_faults.push_back({ .kind = kind, .place = name.empty() ? m_place : placeOf(name), .detail = std::move(detail) });
+            m_faults.push_back({ .kind = kind, .place = name.empty() ? m_place : childPointer(name), .detail = std::move(detail) });
         }
 
     private:
@@ -111,7 +111,7 @@
             return nullptr;
         }
 
-        std::string placeOf(const std::string& name) const { return m_place + "/" + name; }
+        std::string childPointer(const std::string& name) const { return m_place + "/" + name; }
 
         const Json& m_object;
         std::string m_place;
@@ -124,13 +124,13 @@
         ServiceSpec service;
         FieldReader reader(json, place, faults);
         reader.text("name", service.name);
-        reader.number("targets", service.targets, { .least = 1, .most = 10000, .required = true });
-        reader.number("slots", service.slots, { .least = 1, .most = 10000, .required = true });
-        reader.number("queueLimit", service.queueLimit, { .least = 0, .most = 100000 });
-        reader.number("flowsPerTarget", service.flowsPerTarget, { .least = 0, .most = 100000, .required = true });
+        reader.number("targets", service.targets, { .minimum = 1, .maximum = 10000, .required = true });
+        reader.number("slots", service.slots, { .minimum = 1, .maximum = 10000, .required = true });
+        reader.number("queueLimit", service.queueLimit, { .minimum = 0, .maximum = 100000 });
+        reader.number("flowsPerTarget", service.flowsPerTarget, { .minimum = 0, .maximum = 100000, .required = true });
         reader.number("warmUpMs", service.warmUp);
-        reader.number("coldForMs", service.coldFor);
-        reader.number("fallOverFactor", service.fallOverFactor);
+        reader.number("coldForMs", service.coldDuration);
+        reader.number("fallOverFactor", service.crashFactor);
         reader.finish();
         return service;
     }
@@ -148,10 +148,10 @@
         reader.number("betweenDataCentresMs", deployment.betweenDataCentres);
         reader.number("withinDataCentreMs", deployment.withinDataCentre);
         reader.number("toCallersMs", deployment.toCallers);
-        reader.number("balancers", deployment.balancers, { .least = 1, .most = 1000, .required = true });
-        reader.number("heartbeatMs", deployment.heartbeat, { .least = 10 });
-        reader.number("linkSilenceMs", deployment.linkSilence, { .least = 10 });
-        reader.number("leaseMs", deployment.lease, { .least = 100 });
+        reader.number("balancers", deployment.balancers, { .minimum = 1, .maximum = 1000, .required = true });
+        reader.number("heartbeatMs", deployment.heartbeat, { .minimum = 10 });
+        reader.number("linkSilenceMs", deployment.linkSilence, { .minimum = 10 });
+        reader.number("leaseMs", deployment.lease, { .minimum = 100 });
         reader.number("watchDelayMs", deployment.watchDelay);
         reader.list("services", true, [&](const Json& service, const std::string& servicePlace) {
             deployment.services.push_back(readService(service, servicePlace, faults));
@@ -165,17 +165,17 @@
         LoadSpec load;
         FieldReader reader(json, place, faults);
         reader.text("service", load.service);
-        reader.number("utilisation", load.utilisation, { .least = 0, .most = 100, .required = true });
-        reader.number("shortWorkMs", load.shortWork, { .least = 1 });
-        reader.number("longWorkMs", load.longWork, { .least = 1 });
-        reader.number("longShare", load.longShare, { .least = 0, .most = 1 });
-        reader.number("onceShare", load.onceShare, { .least = 0, .most = 1 });
-        reader.number("deadlineMs", load.deadline, { .least = 1 });
-        reader.number("flowLifeMs", load.flowLife);
-        reader.number("flowIntervalMs", load.flowInterval, { .least = 10 });
-        reader.number("feedShare", load.feedShare, { .least = 0, .most = 0.99 });
-        reader.number("repeatShare", load.repeatShare, { .least = 0, .most = 1 });
-        reader.number("callerHosts", load.callerHosts, { .least = 1 });
+        reader.number("utilisation", load.utilisation, { .minimum = 0, .maximum = 100, .required = true });
+        reader.number("shortWorkMs", load.shortWork, { .minimum = 1 });
+        reader.number("longWorkMs", load.longWork, { .minimum = 1 });
+        reader.number("longShare", load.longShare, { .minimum = 0, .maximum = 1 });
+        reader.number("onceShare", load.onceShare, { .minimum = 0, .maximum = 1 });
+        reader.number("deadlineMs", load.deadline, { .minimum = 1 });
+        reader.number("flowLifeMs", load.flowLifetime);
+        reader.number("flowIntervalMs", load.flowInterval, { .minimum = 10 });
+        reader.number("feedShare", load.feedShare, { .minimum = 0, .maximum = 0.99 });
+        reader.number("repeatShare", load.repeatShare, { .minimum = 0, .maximum = 1 });
+        reader.number("callerHosts", load.callerHosts, { .minimum = 1 });
         reader.finish();
         return load;
     }
@@ -218,7 +218,7 @@
         }
     }
 
-    void crossCheck(const ExperimentSpec& experiment, std::vector<Fault>& faults)
+    void checkReferences(const ExperimentSpec& experiment, std::vector<Fault>& faults)
     {
         const DeploymentSpec& deployment = experiment.deployment;
         if (deployment.dataCentres.empty())
@@ -259,7 +259,7 @@
     reader.text("name", experiment.name);
     reader.number("seed", experiment.seed);
     reader.number("warmUpMs", experiment.warmUp);
-    reader.number("durationMs", experiment.duration, { .least = 1, .required = true });
+    reader.number("durationMs", experiment.duration, { .minimum = 1, .required = true });
     reader.object("deployment", [&](const Json& value, const std::string& place) {
         experiment.deployment = readDeployment(value, place, faults);
     });
@@ -277,7 +277,7 @@
             faults.push_back({ .kind = FaultKind::OutOfRange, .place = place, .detail = "unknown policy" });
     });
     reader.finish();
-    crossCheck(experiment, faults);
+    checkReferences(experiment, faults);
     if (faults.size() != faultsBefore)
         return std::nullopt;
     return experiment;
--- a/bench/libmodel/historyrecorder.h
+++ b/bench/libmodel/historyrecorder.h
@@ -12,9 +12,9 @@
 /// millions of events.
 class HistoryRecorder {
 public:
-    HistoryRecorder(const EventLoop& loop, bool isKept)
+    HistoryRecorder(const EventLoop& loop, bool isEnabled)
         : m_loop(loop)
-        , m_isKept(isKept)
+        , m_isEnabled(isEnabled)
     {
     }
 
@@ -22,7 +22,7 @@
     template <typename Make>
     void record(Make make)
     {
-        if (m_isKept)
+        if (m_isEnabled)
             append(make());
     }
 
@@ -32,7 +32,7 @@
     void append(HistoryEvent event);
 
     const EventLoop& m_loop;
-    bool m_isKept;
+    bool m_isEnabled;
     std::vector<HistoryEvent> m_events;
 };
 
--- a/bench/libmodel/message.h
+++ b/bench/libmodel/message.h
@@ -60,7 +60,7 @@
     std::uint64_t answerHash = 0;
     std::uint8_t hops = 0;
     std::vector<UpstreamId> visited;
-    UpstreamId passedOver = 0;
+    UpstreamId firstRanked = 0;
     /// Set in opening packets: the flow will carry a feed, which a planned change must not interrupt.
     bool hasFeed = false;
 };
--- a/bench/libmodel/metrics.cpp
+++ b/bench/libmodel/metrics.cpp
@@ -49,13 +49,13 @@
     };
 }
 
-void Metrics::noteStart(std::uint64_t onceKey)
+void Metrics::recordStart(std::uint64_t onceKey)
 {
-    if (onceKey != 0 && ++startsOfKey[onceKey] > 1)
-        ++doubled;
+    if (onceKey != 0 && ++startsByKey[onceKey] > 1)
+        ++duplicateRuns;
 }
 
-void Metrics::noteConcurrency(std::uint32_t running, double bearable, std::uint32_t slots, bool isAnnounced)
+void Metrics::recordConcurrency(std::uint32_t running, double bearable, std::uint32_t slots, bool isAnnounced)
 {
     // The number of requests that an upstream can serve while it warms up is rounded down to whole requests.
     const double excess = running - std::floor(bearable);
@@ -69,7 +69,7 @@
     coldExcess = std::max(coldExcess, excess);
 }
 
-SecondOfService& Metrics::second(Millis sinceStart)
+SecondMetrics& Metrics::second(Millis sinceStart)
 {
     const auto index = static_cast<std::size_t>(std::max<Millis>(0, sinceStart) / millisPerSecond);
     if (index >= seconds.size())
--- a/bench/libmodel/metrics.h
+++ b/bench/libmodel/metrics.h
@@ -72,7 +72,7 @@
 Imbalance imbalanceOf(const std::vector<double>& values);
 
 /// What callers received within one second.
-struct SecondOfService {
+struct SecondMetrics {
     std::uint64_t offered = 0;
     std::uint64_t answered = 0;
     std::uint64_t refused = 0;
@@ -100,7 +100,7 @@
     std::uint64_t firstTries = 0;
     std::uint64_t retries = 0;
     /// Non-idempotent work that started more than once.
-    std::uint64_t doubled = 0;
+    std::uint64_t duplicateRuns = 0;
     std::uint64_t packets = 0;
     std::uint64_t hops = 0;
     std::uint64_t redirectsNoted = 0;
@@ -114,7 +114,7 @@
     /// The same, after an upstream became cold without the agent being informed.
     std::uint64_t suddenColdOverruns = 0;
     /// Number of crashes of upstreams under overload.
-    std::uint64_t falls = 0;
+    std::uint64_t overloadCrashes = 0;
     Samples answerLatency;
     /// Time from sending an attempt until its refusal with the statement that it did not run, in milliseconds.
     Samples refusalLatency;
@@ -124,19 +124,19 @@
     Samples busyVariation;
     /// Time from the return of a target until it holds its share of flows within a factor of 1.25, in milliseconds.
     Samples returnTime;
-    std::vector<SecondOfService> seconds;
+    std::vector<SecondMetrics> seconds;
     /// Set during the warm-up before measuring, in which nothing is counted.
     bool isWarmingUp = true;
-    std::unordered_map<std::uint64_t, std::uint32_t> startsOfKey;
+    std::unordered_map<std::uint64_t, std::uint32_t> startsByKey;
 
     /// Counts a start of work at an upstream; `onceKey` is 0 for idempotent work.
-    void noteStart(std::uint64_t onceKey);
+    void recordStart(std::uint64_t onceKey);
 
     /// Counts a start of work beyond what a cold upstream can serve. A warm upstream, which can serve all its slots, is not
     /// counted.
-    void noteConcurrency(std::uint32_t running, double bearable, std::uint32_t slots, bool isAnnounced);
+    void recordConcurrency(std::uint32_t running, double bearable, std::uint32_t slots, bool isAnnounced);
 
-    SecondOfService& second(Millis sinceStart);
+    SecondMetrics& second(Millis sinceStart);
 };
 
 }
--- a/bench/libmodel/modelagent.cpp
+++ b/bench/libmodel/modelagent.cpp
@@ -10,10 +10,10 @@
 namespace {
 
     constexpr Micros redirectBatchInterval = 50 * microsPerMilli;
-    constexpr Micros announceRetry = 1000 * microsPerMilli;
-    constexpr std::uint32_t finalSends = 10;
+    constexpr Micros announceRetryInterval = 1000 * microsPerMilli;
+    constexpr std::uint32_t maxFinalSends = 10;
     /// A flow without packets for this number of its packet intervals is removed.
-    constexpr Millis silentIntervals = 4;
+    constexpr Millis maxSilentIntervals = 4;
 
 }
 
@@ -42,7 +42,7 @@
 
 void ModelAgent::reset()
 {
-    ++m_life;
+    ++m_generation;
     m_token = {};
     m_returnVersion = 0;
     m_config = {};
@@ -68,7 +68,7 @@
     announce();
 }
 
-void ModelAgent::startSettled(const OwnerToken& token)
+void ModelAgent::startSteady(const OwnerToken& token)
 {
     reset();
     m_token = token;
@@ -81,19 +81,19 @@
 {
     m_context.network.setAlive(self(), true);
     m_context.network.attach(self(), [this](Endpoint from, Message message) { receive(from, std::move(message)); });
-    m_context.history.record([&] { return eventOf(HistoryKind::ProcessStarted); });
-    later(static_cast<Micros>(m_context.random.uniform() * static_cast<double>(toMicros(m_context.experiment.deployment.heartbeat))), [this] { tick(); });
-    later(redirectBatchInterval, [this] { sendRedirects(); });
-    later(toMicros(m_context.experiment.deployment.lease / 3), [this] { renew(); });
+    m_context.history.record([&] { return makeEvent(HistoryKind::ProcessStarted); });
+    schedule(static_cast<Micros>(m_context.random.uniform() * static_cast<double>(toMicros(m_context.experiment.deployment.heartbeat))), [this] { tick(); });
+    schedule(redirectBatchInterval, [this] { sendRedirects(); });
+    schedule(toMicros(m_context.experiment.deployment.lease / 3), [this] { renew(); });
 }
 
 void ModelAgent::announce()
 {
-    m_store.announce(m_index, [this, life = m_life](Incarnation incarnation) {
-        if (life == m_life && !m_token.isSet())
+    m_store.announce(m_index, [this, generation = m_generation](Incarnation incarnation) {
+        if (generation == m_generation && !m_token.isSet())
             m_token = { .upstream = targetId(m_index), .incarnation = incarnation };
     });
-    later(announceRetry, [this] {
+    schedule(announceRetryInterval, [this] {
         if (!m_token.isSet())
             announce();
     });
@@ -106,24 +106,24 @@
 }
 
 /// Schedules an action of this process. The action is skipped if the process has terminated, and delayed while it is frozen.
-void ModelAgent::later(Micros delay, EventLoop::Action action)
+void ModelAgent::schedule(Micros delay, EventLoop::Action action)
 {
-    m_context.loop.after(delay, [this, life = m_life, action = std::move(action)] {
-        if (life != m_life)
+    m_context.loop.after(delay, [this, generation = m_generation, action = std::move(action)] {
+        if (generation != m_generation)
             return;
         if (m_context.network.isFrozen(self()))
-            return later(redirectBatchInterval, action);
-        noteRuns();
+            return schedule(redirectBatchInterval, action);
+        detectPause();
         action();
     });
 }
 
-void ModelAgent::loseLink(std::size_t balancer)
+void ModelAgent::handleLinkLoss(std::size_t balancer)
 {
     m_balancers.erase(balancer);
 }
 
-bool ModelAgent::isOut() const
+bool ModelAgent::isDataCentreOut() const
 {
     const std::size_t dataCentre = dataCentreOf(m_index, m_context.experiment.deployment);
     return dataCentre < m_config.dataCentreOut.size() && m_config.dataCentreOut[dataCentre];
@@ -131,7 +131,7 @@
 
 /// Ends the wait for the balancers' configuration after a return to service. A balancer that links afterwards doesn't
 /// restart the wait.
-void ModelAgent::lookForReturn()
+void ModelAgent::updateReturnWait()
 {
     std::vector<ConfigVersion> versions;
     for (const auto& [balancer, link] : m_balancers)
@@ -141,7 +141,7 @@
 }
 
 /// After a pause of the process its knowledge of the upstream is outdated, so the warm-up starts again.
-void ModelAgent::noteRuns()
+void ModelAgent::detectPause()
 {
     const Millis held = m_pause.dropUntil;
     recordRun(m_pause, m_context.policy.pause, m_context.loop.nowMillis());
@@ -152,31 +152,31 @@
 void ModelAgent::receive(Endpoint from, Message message)
 {
     const Millis now = m_context.loop.nowMillis();
-    noteRuns();
+    detectPause();
     const auto* heartbeat = std::get_if<HeartbeatMessage>(&message);
     // Messages of a link that this agent has closed are lost.
     if (!m_balancers.contains(from.index) && !(heartbeat && heartbeat->isHello))
         return;
     LinkState& link = m_balancers[from.index];
-    link.heardAt = now;
+    link.lastReceivedAt = now;
     if (auto* packet = std::get_if<FlowPacket>(&message)) {
         if (!isDroppingPackets(m_pause, now))
             receivePacket(from.index, std::move(*packet));
     } else if (const auto* config = std::get_if<ConfigMessage>(&message)) {
         link.configVersion = std::max(link.configVersion, config->version);
-        takeConfig(*config);
+        applyConfig(*config);
     } else if (const auto* redirects = std::get_if<RedirectMessage>(&message)) {
         for (const auto& [flow, owner] : redirects->entries)
             recordRedirect(m_redirects, m_context.policy.redirects, flow, owner, now);
         m_context.metrics.redirectsNoted += redirects->entries.size();
     } else if (const auto* query = std::get_if<LedgerQueryMessage>(&message)) {
-        answerQuery(*query);
+        answerLedgerQuery(*query);
     } else if (const auto* answer = std::get_if<LedgerAnswerMessage>(&message)) {
-        takeLedgerAnswer(*answer);
+        handleLedgerAnswer(*answer);
     } else if (heartbeat) {
         link.configVersion = heartbeat->configVersion;
         if (nextConfigStep(m_config.version, heartbeat->configVersion) == ConfigStep::Offer)
-            toBalancer(from.index, m_config);
+            sendToBalancer(from.index, m_config);
     }
 }
 
@@ -195,7 +195,7 @@
         .serviceMatches = holds ? flow->second.service == packet.service : packet.service == m_service,
         .hops = packet.hops,
         .draining = m_isDraining && m_context.policy.drainGuard,
-        .dataCentreOut = (isOut() || m_returnVersion != 0) && m_context.policy.dataCentreGuard,
+        .dataCentreOut = (isDataCentreOut() || m_returnVersion != 0) && m_context.policy.dataCentreGuard,
     };
 }
 
@@ -203,17 +203,17 @@
 {
     if (!m_context.metrics.isWarmingUp)
         ++m_context.metrics.packets;
-    lookForReturn();
+    updateReturnWait();
     const PacketVerdict verdict = decidePacket(factsOf(packet), m_context.policy.forwarding);
-    const bool isTaken = verdict.action == PacketAction::Deliver || verdict.action == PacketAction::Open;
+    const bool isAccepted = verdict.action == PacketAction::Deliver || verdict.action == PacketAction::Open;
     m_context.history.record([&] {
-        HistoryEvent event = eventOf(HistoryKind::UpstreamPacket);
-        event.service = m_context.experiment.deployment.services[isTaken ? packet.service : m_service].name;
+        HistoryEvent event = makeEvent(HistoryKind::UpstreamPacket);
+        event.service = m_context.experiment.deployment.services[isAccepted ? packet.service : m_service].name;
         return event;
     });
     switch (verdict.action) {
     case PacketAction::Deliver:
-        return takePacket(packet);
+        return handleFlowPacket(packet);
     case PacketAction::Open:
         return openFlow(packet);
     case PacketAction::ForwardToOwner:
@@ -239,7 +239,7 @@
     ++packet.hops;
     if (!m_context.metrics.isWarmingUp)
         ++m_context.metrics.hops;
-    toBalancer(balancer, std::move(packet));
+    sendToBalancer(balancer, std::move(packet));
 }
 
 void ModelAgent::openFlow(const FlowPacket& packet)
@@ -248,28 +248,28 @@
     if (!m_token.isSet())
         return;
     const Millis now = m_context.loop.nowMillis();
-    m_flows[packet.flow] = { .service = packet.service, .caller = packet.caller, .heardAt = now, .idleSince = now, .hasFeed = packet.hasFeed };
-    if (m_context.policy.redirects.announce && packet.passedOver != 0 && packet.passedOver != m_token.upstream) {
-        RedirectMessage& batch = m_redirectsToSend[packet.passedOver];
-        batch.target = packet.passedOver;
+    m_flows[packet.flow] = { .service = packet.service, .caller = packet.caller, .lastReceivedAt = now, .idleSince = now, .hasFeed = packet.hasFeed };
+    if (m_context.policy.redirects.announce && packet.firstRanked != 0 && packet.firstRanked != m_token.upstream) {
+        RedirectMessage& batch = m_redirectsToSend[packet.firstRanked];
+        batch.target = packet.firstRanked;
         batch.entries.emplace_back(packet.flow, m_token);
     }
     reply(packet, ModelPacketKind::Opened);
 }
 
-void ModelAgent::takePacket(const FlowPacket& packet)
+void ModelAgent::handleFlowPacket(const FlowPacket& packet)
 {
-    m_flows[packet.flow].heardAt = m_context.loop.nowMillis();
+    m_flows[packet.flow].lastReceivedAt = m_context.loop.nowMillis();
     switch (packet.kind) {
     case ModelPacketKind::Open:
         return reply(packet, ModelPacketKind::Opened);
     case ModelPacketKind::Data:
         return reply(packet, ModelPacketKind::DataAck);
     case ModelPacketKind::Request:
-        return takeRequest(packet);
+        return handleRequest(packet);
     case ModelPacketKind::FinalAck:
         if (const auto work = m_work.find(packet.request.id); work != m_work.end() && work->second.state == WorkState::Ended)
-            work->second.sends = finalSends;
+            work->second.sends = maxFinalSends;
         return;
     case ModelPacketKind::Cancel:
         return cancel(packet.request.id);
@@ -316,16 +316,16 @@
         .request = packet.request,
     };
     answer.verdict.reason = reason;
-    toCaller(std::move(answer));
+    sendToCaller(std::move(answer));
 }
 
-void ModelAgent::toCaller(FlowPacket packet)
+void ModelAgent::sendToCaller(FlowPacket packet)
 {
-    if (const auto balancer = anyBalancer())
+    if (const auto balancer = chooseBalancer())
         m_context.network.send(self(), { EndpointKind::Balancer, *balancer }, std::move(packet));
 }
 
-std::optional<std::size_t> ModelAgent::anyBalancer()
+std::optional<std::size_t> ModelAgent::chooseBalancer()
 {
     if (m_balancers.empty())
         return std::nullopt;
@@ -334,27 +334,27 @@
     return chosen->first;
 }
 
-void ModelAgent::toBalancer(std::size_t balancer, Message message)
+void ModelAgent::sendToBalancer(std::size_t balancer, Message message)
 {
     if (!std::holds_alternative<FlowPacket>(message) && !m_context.metrics.isWarmingUp)
         m_context.metrics.controlBytes += encodedBytes(message);
     m_context.network.send(self(), { EndpointKind::Balancer, balancer }, std::move(message));
 }
 
-void ModelAgent::takeConfig(const ConfigMessage& config)
+void ModelAgent::applyConfig(const ConfigMessage& config)
 {
     if (!supersedes(m_config.version, config.version, m_context.policy.configOrder))
         return;
     m_config = config;
     m_context.history.record([&] {
-        HistoryEvent event = eventOf(HistoryKind::ConfigInForce);
+        HistoryEvent event = makeEvent(HistoryKind::ConfigInForce);
         event.version = config.version;
         return event;
     });
     if (!m_context.policy.dataCentreGuard)
         return;
-    const bool isBack = m_wasOut && !isOut();
-    m_wasOut = isOut();
+    const bool isBack = m_wasOut && !isDataCentreOut();
+    m_wasOut = isDataCentreOut();
     if (m_wasOut)
         m_returnVersion = 0;
     if (m_wasOut)
@@ -403,7 +403,7 @@
     }
 }
 
-void ModelAgent::stepDrain()
+void ModelAgent::advanceDrain()
 {
     if (!m_isDraining)
         return;
@@ -435,7 +435,7 @@
 {
     const Millis now = m_context.loop.nowMillis();
     const DeploymentSpec& deployment = m_context.experiment.deployment;
-    giveUpSilentLinks();
+    closeSilentLinks();
     // The health endpoint refuses connections, so the next process that answers there is a new one, which starts cold.
     if (!m_upstream.isAlive())
         restartWarmUp(m_admission, now);
@@ -446,25 +446,25 @@
             .openFlows = static_cast<double>(m_flows.size()),
             .draining = m_isDraining,
         };
-        toBalancer(balancer, heartbeat);
+        sendToBalancer(balancer, heartbeat);
     }
     expire();
-    later(toMicros(deployment.heartbeat), [this] { tick(); });
-    stepDrain();
+    schedule(toMicros(deployment.heartbeat), [this] { tick(); });
+    advanceDrain();
 }
 
-void ModelAgent::giveUpSilentLinks()
+void ModelAgent::closeSilentLinks()
 {
     const Millis now = m_context.loop.nowMillis();
     std::vector<std::size_t> silent;
     for (const auto& [balancer, link] : m_balancers) {
-        if (now - link.heardAt > m_context.experiment.deployment.linkSilence)
+        if (now - link.lastReceivedAt > m_context.experiment.deployment.linkSilence)
             silent.push_back(balancer);
     }
     for (const std::size_t balancer : silent) {
         m_balancers.erase(balancer);
-        if (onLinkGivenUp)
-            onLinkGivenUp(balancer);
+        if (onLinkClosed)
+            onLinkClosed(balancer);
     }
 }
 
@@ -473,7 +473,7 @@
     const Millis now = m_context.loop.nowMillis();
     std::vector<FlowId> silent;
     for (const auto& [id, flow] : m_flows) {
-        if (now - flow.heardAt > silentIntervals * loadOf(m_service, m_context.experiment).flowInterval)
+        if (now - flow.lastReceivedAt > maxSilentIntervals * loadOf(m_service, m_context.experiment).flowInterval)
             silent.push_back(id);
     }
     for (const FlowId flow : silent)
@@ -483,7 +483,7 @@
     expireClosedFlows(m_closedFlows, m_context.policy.closedFlows, now);
 }
 
-void ModelAgent::noteIdle(FlowId flow)
+void ModelAgent::recordIdle(FlowId flow)
 {
     if (const auto found = m_flows.find(flow); found != m_flows.end())
         found->second.idleSince = m_context.loop.nowMillis();
@@ -497,7 +497,7 @@
     return pending;
 }
 
-HistoryEvent ModelAgent::eventOf(HistoryKind kind) const
+HistoryEvent ModelAgent::makeEvent(HistoryKind kind) const
 {
     const DeploymentSpec& deployment = m_context.experiment.deployment;
     return {
@@ -515,16 +515,16 @@
 {
     if (m_token.isSet())
         m_store.renew(m_index, m_token);
-    later(toMicros(m_context.experiment.deployment.lease / 3), [this] { renew(); });
+    schedule(toMicros(m_context.experiment.deployment.lease / 3), [this] { renew(); });
 }
 
 void ModelAgent::sendRedirects()
 {
     for (auto& [target, batch] : std::exchange(m_redirectsToSend, {})) {
-        if (const auto balancer = anyBalancer())
-            toBalancer(*balancer, std::move(batch));
+        if (const auto balancer = chooseBalancer())
+            sendToBalancer(*balancer, std::move(batch));
     }
-    later(redirectBatchInterval, [this] { sendRedirects(); });
+    schedule(redirectBatchInterval, [this] { sendRedirects(); });
 }
 
 }
--- a/bench/libmodel/modelagent.h
+++ b/bench/libmodel/modelagent.h
@@ -28,7 +28,7 @@
     void start();
     /// Starts with an announcement that the store already holds and a warmed-up limit, for runs that begin in the steady
     /// state.
-    void startSettled(const OwnerToken& token);
+    void startSteady(const OwnerToken& token);
     void kill();
 
     /// Starts draining: accepts no new flows and, if `mayExit`, exits when no flow is left.
@@ -37,33 +37,33 @@
     void revokeDrain();
 
     /// Handles the loss of the link to a balancer.
-    void loseLink(std::size_t balancer);
+    void handleLinkLoss(std::size_t balancer);
 
     const OwnerToken& token() const { return m_token; }
     std::size_t openFlows() const { return m_flows.size(); }
     std::uint32_t busyWork() const { return busy(m_admission); }
     bool isDraining() const { return m_isDraining; }
-    bool isOut() const;
+    bool isDataCentreOut() const;
     ConfigVersion configVersion() const { return m_config.version; }
     /// Called when a drained agent has exited.
     std::function<void()> onExit;
     /// Called when the agent closes a link on which nothing was received for too long.
-    std::function<void(std::size_t balancer)> onLinkGivenUp;
+    std::function<void(std::size_t balancer)> onLinkClosed;
 
 private:
     struct Flow {
         std::size_t service = 0;
         std::size_t caller = 0;
-        Millis heardAt = 0;
+        Millis lastReceivedAt = 0;
         /// When the latest request on the flow ended.
         Millis idleSince = 0;
         bool hasFeed = false;
         /// Requests that were received on the flow.
-        std::set<RequestId> seen;
+        std::set<RequestId> receivedRequests;
     };
 
     struct LinkState {
-        Millis heardAt = 0;
+        Millis lastReceivedAt = 0;
         ConfigVersion configVersion = 0;
     };
 
@@ -83,58 +83,58 @@
         EarlierAttempts earlier;
         Millis arrivedAt = 0;
         Millis startedAt = 0;
-        FlowPacket last;
+        FlowPacket finalPacket;
         std::uint32_t sends = 0;
     };
 
     void reset();
     void run();
     void announce();
-    void later(Micros delay, EventLoop::Action action);
+    void schedule(Micros delay, EventLoop::Action action);
 
     void receive(Endpoint from, Message message);
     void receivePacket(std::size_t balancer, FlowPacket packet);
-    void lookForReturn();
-    void noteRuns();
+    void updateReturnWait();
+    void detectPause();
     PacketFacts factsOf(const FlowPacket& packet) const;
     void forward(std::size_t balancer, FlowPacket packet);
     void openFlow(const FlowPacket& packet);
-    void takePacket(const FlowPacket& packet);
+    void handleFlowPacket(const FlowPacket& packet);
     void closeFlow(FlowId flow, RefusalReason reason);
     void resetFlow(FlowId flow, RefusalReason reason);
     void reply(const FlowPacket& packet, ModelPacketKind kind, RefusalReason reason = RefusalReason::None);
-    void toCaller(FlowPacket packet);
-    std::optional<std::size_t> anyBalancer();
-    void toBalancer(std::size_t balancer, Message message);
+    void sendToCaller(FlowPacket packet);
+    std::optional<std::size_t> chooseBalancer();
+    void sendToBalancer(std::size_t balancer, Message message);
 
-    void takeRequest(const FlowPacket& packet);
-    void askEarlier(Work& work);
-    void decideEarlier(RequestId id);
+    void handleRequest(const FlowPacket& packet);
+    void queryEarlierOwners(Work& work);
+    void decideEarlierAttempts(RequestId id);
     void admitWork(RequestId id);
     void startWork(RequestId id);
     void startNext();
-    void wakeLater();
-    void endWork(RequestId id, bool isWhole, std::uint64_t life);
+    void scheduleWake();
+    void handleWorkEnd(RequestId id, bool isWhole, std::uint64_t generation);
     void timeOut(RequestId id);
     void cancel(RequestId id);
-    void withdrawRunning(Work& work, WorkOutcome outcome, RefusalReason reason);
+    void cancelRunning(Work& work, WorkOutcome outcome, RefusalReason reason);
     void answer(Work& work);
     void refuse(Work& work, const RefusalVerdict& verdict, LedgerState outcome);
-    void sendLast(RequestId id);
-    void answerQuery(const LedgerQueryMessage& query);
-    void takeLedgerAnswer(const LedgerAnswerMessage& answer);
+    void sendFinal(RequestId id);
+    void answerLedgerQuery(const LedgerQueryMessage& query);
+    void handleLedgerAnswer(const LedgerAnswerMessage& answer);
 
-    void takeConfig(const ConfigMessage& config);
+    void applyConfig(const ConfigMessage& config);
     void leaveDataCentre();
     void tick();
     void renew();
-    void giveUpSilentLinks();
+    void closeSilentLinks();
     void expire();
-    void stepDrain();
+    void advanceDrain();
     void refuseWaiting();
     void sendRedirects();
-    HistoryEvent eventOf(HistoryKind kind) const;
-    void noteIdle(FlowId flow);
+    HistoryEvent makeEvent(HistoryKind kind) const;
+    void recordIdle(FlowId flow);
     std::uint32_t pendingOf(FlowId flow) const;
     AdmissionOptions admissionOptions() const;
     Endpoint self() const { return { EndpointKind::Agent, m_index }; }
@@ -165,7 +165,7 @@
     bool m_isDraining = false;
     bool m_mayExit = false;
     bool m_wasOut = false;
-    std::uint64_t m_life = 0;
+    std::uint64_t m_generation = 0;
 };
 
 }
--- a/bench/libmodel/modelagentwork.cpp
+++ b/bench/libmodel/modelagentwork.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-    constexpr Micros finalResend = 300 * microsPerMilli;
-    constexpr std::uint32_t finalSends = 10;
+    constexpr Micros finalResendInterval = 300 * microsPerMilli;
+    constexpr std::uint32_t maxFinalSends = 10;
     /// Time from the withdrawal of a request until the upstream has confirmed that it stopped.
-    constexpr Micros cancelConfirm = 2 * microsPerMilli;
+    constexpr Micros cancelConfirmTime = 2 * microsPerMilli;
     constexpr Micros queryTimeout = 500 * microsPerMilli;
 
     std::string keyText(WorkKey key)
@@ -30,22 +30,22 @@
 
 }
 
-void ModelAgent::takeRequest(const FlowPacket& packet)
+void ModelAgent::handleRequest(const FlowPacket& packet)
 {
     const RequestId id = packet.request.id;
     if (const auto known = m_work.find(id); known != m_work.end()) {
         // A duplicate: the first copy is in progress, or its final answer was lost.
-        return known->second.state == WorkState::Ended ? toCaller(known->second.last) : reply(packet, ModelPacketKind::RequestAck);
+        return known->second.state == WorkState::Ended ? sendToCaller(known->second.finalPacket) : reply(packet, ModelPacketKind::RequestAck);
     }
     reply(packet, ModelPacketKind::RequestAck);
     // A late duplicate, for example from a balancer that was paused. Real flow endpoints detect it by its sequence number.
-    if (!m_flows[packet.flow].seen.insert(id).second)
+    if (!m_flows[packet.flow].receivedRequests.insert(id).second)
         return;
     const Millis now = m_context.loop.nowMillis();
     Work& work = m_work[id];
     work = { .flow = packet.flow, .request = packet.request, .deadline = now + packet.request.deadline, .arrivedAt = now };
-    work.last = { .service = packet.service, .flow = packet.flow, .caller = packet.caller, .owner = m_token, .request = packet.request };
-    later(toMicros(packet.request.deadline), [this, id] { timeOut(id); });
+    work.finalPacket = { .service = packet.service, .flow = packet.flow, .caller = packet.caller, .owner = m_token, .request = packet.request };
+    schedule(toMicros(packet.request.deadline), [this, id] { timeOut(id); });
     if (m_isDraining && m_context.policy.drainGuard && refusesNewWork(m_drain, m_context.policy.drain, now))
         return refuse(work, { .ran = Ran::No, .reason = RefusalReason::UpstreamDraining }, LedgerState::NeverSeen);
     if (!packet.request.once)
@@ -55,17 +55,17 @@
         return refuse(work, refusalOf(begun), LedgerState::NeverSeen);
     work.earlier = collectEarlierAttempts(packet.request.earlier, m_token);
     if (decideAttempts(work.earlier, m_context.policy.attempts).decision == AttemptsDecision::Wait)
-        askEarlier(work);
-    decideEarlier(id);
+        queryEarlierOwners(work);
+    decideEarlierAttempts(id);
 }
 
-void ModelAgent::askEarlier(Work& work)
+void ModelAgent::queryEarlierOwners(Work& work)
 {
     for (const EarlierAttempt& attempt : work.earlier.attempts) {
-        if (const auto balancer = anyBalancer())
-            toBalancer(*balancer, LedgerQueryMessage { .key = work.request.key, .asker = m_token, .holder = attempt.owner });
+        if (const auto balancer = chooseBalancer())
+            sendToBalancer(*balancer, LedgerQueryMessage { .key = work.request.key, .asker = m_token, .holder = attempt.owner });
     }
-    later(queryTimeout, [this, id = work.request.id] {
+    schedule(queryTimeout, [this, id = work.request.id] {
         const auto found = m_work.find(id);
         if (found == m_work.end() || found->second.state != WorkState::Asking)
             return;
@@ -73,11 +73,11 @@
             if (!attempt.answer)
                 recordUnreachable(found->second.earlier, attempt.owner);
         }
-        decideEarlier(id);
+        decideEarlierAttempts(id);
     });
 }
 
-void ModelAgent::decideEarlier(RequestId id)
+void ModelAgent::decideEarlierAttempts(RequestId id)
 {
     const auto found = m_work.find(id);
     if (found == m_work.end() || found->second.state != WorkState::Asking)
@@ -99,7 +99,7 @@
         return startWork(id);
     case AdmitDecision::Queue:
         work.state = WorkState::Queued;
-        return wakeLater();
+        return scheduleWake();
     case AdmitDecision::Refuse:
         return refuse(work, verdict.refusal, LedgerState::NotRun);
     }
@@ -112,21 +112,21 @@
     work.state = WorkState::Running;
     work.startedAt = now;
     const double bearable = m_upstream.bearable();
-    const UpstreamStart started = m_upstream.start(id, work.request.work, [this, id, life = m_life](bool isWhole) { endWork(id, isWhole, life); });
-    if (started == UpstreamStart::Started) {
+    const StartResult started = m_upstream.start(id, work.request.work, [this, id, generation = m_generation](bool isWhole) { handleWorkEnd(id, isWhole, generation); });
+    if (started == StartResult::Started) {
         m_context.history.record([&] {
-            HistoryEvent event = eventOf(HistoryKind::UpstreamWorkBegan);
+            HistoryEvent event = makeEvent(HistoryKind::UpstreamWorkBegan);
             event.key = keyText(work.request.key);
             event.idempotent = !work.request.once;
             event.concurrent = m_upstream.running();
             event.bearable = static_cast<std::uint32_t>(bearable);
             return event;
         });
-        m_context.metrics.noteStart(work.request.once ? work.request.key : 0);
-        m_context.metrics.noteConcurrency(m_upstream.running(), bearable, service().slots, m_upstream.isColdAnnounced());
+        m_context.metrics.recordStart(work.request.once ? work.request.key : 0);
+        m_context.metrics.recordConcurrency(m_upstream.running(), bearable, service().slots, m_upstream.isColdAnnounced());
         return;
     }
-    const bool isShed = started == UpstreamStart::Shed;
+    const bool isShed = started == StartResult::Shed;
     finishWork(m_admission, admissionOptions(), itemOf(id, work.request, 0, 0).workClass, isShed ? WorkOutcome::Shed : WorkOutcome::Failed, 0, now);
     refuse(work, { .ran = Ran::No, .reason = isShed ? RefusalReason::UpstreamShed : RefusalReason::UpstreamUnreachable, .retryAfter = service().warmUp / 50 }, LedgerState::NotRun);
     startNext();
@@ -136,22 +136,22 @@
 {
     const Millis now = m_context.loop.nowMillis();
     if (isDroppingPackets(m_pause, now))
-        return later(toMicros(m_pause.dropUntil - now), [this] { startNext(); });
+        return schedule(toMicros(m_pause.dropUntil - now), [this] { startNext(); });
     for (const RefusedItem& expired : removeExpired(m_admission, admissionOptions(), now))
         refuse(m_work.at(expired.item.id), expired.refusal, LedgerState::NotRun);
     for (const WorkItem& item : dequeueRunnable(m_admission, admissionOptions(), now))
         startWork(item.id);
-    wakeLater();
+    scheduleWake();
 }
 
-void ModelAgent::wakeLater()
+void ModelAgent::scheduleWake()
 {
     const Millis now = m_context.loop.nowMillis();
     const auto wake = nextWakeTime(m_admission, now);
     if (!wake || (m_wakeAt && *m_wakeAt <= *wake && *m_wakeAt > now))
         return;
     m_wakeAt = std::max(*wake, now + 1);
-    later(toMicros(*m_wakeAt - now), [this, at = *m_wakeAt] {
+    schedule(toMicros(*m_wakeAt - now), [this, at = *m_wakeAt] {
         if (m_wakeAt != at)
             return;
         m_wakeAt.reset();
@@ -159,12 +159,12 @@
     });
 }
 
-void ModelAgent::endWork(RequestId id, bool isWhole, std::uint64_t life)
+void ModelAgent::handleWorkEnd(RequestId id, bool isWhole, std::uint64_t generation)
 {
-    if (life != m_life)
+    if (generation != m_generation)
         return;
     if (m_context.network.isFrozen(self()))
-        return later(1, [this, id, isWhole, life] { endWork(id, isWhole, life); });
+        return schedule(1, [this, id, isWhole, generation] { handleWorkEnd(id, isWhole, generation); });
     const auto found = m_work.find(id);
     if (found == m_work.end())
         return;
@@ -173,7 +173,7 @@
     const WorkClass workClass = itemOf(id, work.request, 0, 0).workClass;
     if (isWhole) {
         m_context.history.record([&] {
-            HistoryEvent event = eventOf(HistoryKind::UpstreamWorkEnded);
+            HistoryEvent event = makeEvent(HistoryKind::UpstreamWorkEnded);
             event.key = keyText(work.request.key);
             event.bodyHash = answerHashOf(work.request);
             return event;
@@ -196,7 +196,7 @@
         return;
     Work& work = found->second;
     if (work.state == WorkState::Running)
-        return withdrawRunning(work, WorkOutcome::TimedOut, RefusalReason::UpstreamTimeout);
+        return cancelRunning(work, WorkOutcome::TimedOut, RefusalReason::UpstreamTimeout);
     cancelQueued(m_admission, id);
     refuse(work, { .ran = Ran::No, .reason = RefusalReason::DeadlinePassed }, LedgerState::NotRun);
 }
@@ -208,17 +208,17 @@
         return;
     Work& work = found->second;
     if (work.state == WorkState::Running)
-        return withdrawRunning(work, WorkOutcome::Cancelled, RefusalReason::Cancelled);
+        return cancelRunning(work, WorkOutcome::Cancelled, RefusalReason::Cancelled);
     cancelQueued(m_admission, id);
     refuse(work, { .ran = Ran::No, .reason = RefusalReason::Cancelled }, LedgerState::NotRun);
 }
 
 /// Refuses a running request. Its slot becomes free only when the upstream has confirmed the cancellation.
-void ModelAgent::withdrawRunning(Work& work, WorkOutcome outcome, RefusalReason reason)
+void ModelAgent::cancelRunning(Work& work, WorkOutcome outcome, RefusalReason reason)
 {
     const RequestId id = work.request.id;
     refuse(work, { .ran = Ran::Unknown, .reason = reason }, LedgerState::Unknown);
-    later(cancelConfirm, [this, id, outcome, startedAt = work.startedAt, workClass = itemOf(id, work.request, 0, 0).workClass] {
+    schedule(cancelConfirmTime, [this, id, outcome, startedAt = work.startedAt, workClass = itemOf(id, work.request, 0, 0).workClass] {
         if (!m_upstream.cancel(id))
             return;
         const Millis now = m_context.loop.nowMillis();
@@ -234,15 +234,15 @@
     if (work.state == WorkState::Ended)
         return;
     work.state = WorkState::Ended;
-    noteIdle(work.flow);
-    work.last.kind = ModelPacketKind::Answer;
-    work.last.answerHash = answerHashOf(work.request);
+    recordIdle(work.flow);
+    work.finalPacket.kind = ModelPacketKind::Answer;
+    work.finalPacket.answerHash = answerHashOf(work.request);
     if (m_context.random.chance(m_context.network.crossedAnswers())) {
-        FlowPacket crossed = work.last;
+        FlowPacket crossed = work.finalPacket;
         ++crossed.answerHash;
-        toCaller(std::move(crossed));
+        sendToCaller(std::move(crossed));
     }
-    sendLast(work.request.id);
+    sendFinal(work.request.id);
 }
 
 /// Sends a refusal and settles the key in the ledger. With NeverSeen the ledger is left unchanged, since the key belongs to
@@ -254,39 +254,39 @@
     if (work.state == WorkState::Ended)
         return;
     work.state = WorkState::Ended;
-    noteIdle(work.flow);
-    work.last.kind = ModelPacketKind::Refusal;
-    work.last.verdict = verdict;
+    recordIdle(work.flow);
+    work.finalPacket.kind = ModelPacketKind::Refusal;
+    work.finalPacket.verdict = verdict;
     if (!m_context.metrics.isWarmingUp)
         ++m_context.metrics.refusals[static_cast<std::size_t>(verdict.reason)];
-    sendLast(work.request.id);
+    sendFinal(work.request.id);
 }
 
 /// Sends the final answer repeatedly until it is acknowledged or the limit of sends is reached, and then removes the request.
-void ModelAgent::sendLast(RequestId id)
+void ModelAgent::sendFinal(RequestId id)
 {
     const auto found = m_work.find(id);
     if (found == m_work.end())
         return;
-    if (found->second.sends >= finalSends) {
+    if (found->second.sends >= maxFinalSends) {
         m_work.erase(found);
         return;
     }
     ++found->second.sends;
-    toCaller(found->second.last);
-    later(finalResend, [this, id] { sendLast(id); });
+    sendToCaller(found->second.finalPacket);
+    schedule(finalResendInterval, [this, id] { sendFinal(id); });
 }
 
-void ModelAgent::answerQuery(const LedgerQueryMessage& query)
+void ModelAgent::answerLedgerQuery(const LedgerQueryMessage& query)
 {
     if (query.holder != m_token)
         return;
     const LedgerState state = queryAndFence(m_ledger, m_context.policy.ledger, keyText(query.key), m_context.loop.nowMillis());
-    if (const auto balancer = anyBalancer())
-        toBalancer(*balancer, LedgerAnswerMessage { .key = query.key, .asker = query.asker, .holder = query.holder, .state = static_cast<std::uint8_t>(state) });
+    if (const auto balancer = chooseBalancer())
+        sendToBalancer(*balancer, LedgerAnswerMessage { .key = query.key, .asker = query.asker, .holder = query.holder, .state = static_cast<std::uint8_t>(state) });
 }
 
-void ModelAgent::takeLedgerAnswer(const LedgerAnswerMessage& answer)
+void ModelAgent::handleLedgerAnswer(const LedgerAnswerMessage& answer)
 {
     const auto state = fromNumber<LedgerState>(answer.state);
     if (!state || answer.asker != m_token)
@@ -299,7 +299,7 @@
         asking.push_back(id);
     }
     for (const RequestId id : asking)
-        decideEarlier(id);
+        decideEarlierAttempts(id);
 }
 
 }
--- a/bench/libmodel/modelbalancer.cpp
+++ b/bench/libmodel/modelbalancer.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-    constexpr Micros redialAfter = 500 * microsPerMilli;
+    constexpr Micros redialDelay = 500 * microsPerMilli;
 
     bool isForCaller(ModelPacketKind kind)
     {
@@ -44,7 +44,7 @@
 
 void ModelBalancer::start()
 {
-    ++m_life;
+    ++m_generation;
     const std::size_t targets = m_firstOfService.back();
     m_members.assign(targets, Member { .state = MemberState::Lapsed });
     m_peers.assign(targets, {});
@@ -52,18 +52,18 @@
     m_pause = {};
     m_placing = m_context.policy.placing;
     m_placing.loadReportInterval = m_context.experiment.deployment.heartbeat;
-    rebuild();
+    rebuildMemberIndex();
     m_context.network.setAlive(self(), true);
     m_context.network.attach(self(), [this](Endpoint from, Message message) { receive(from, std::move(message)); });
     m_context.history.record([&] { return HistoryEvent { .kind = HistoryKind::ProcessStarted, .process = balancerName(m_index), .role = ProcessRole::Balancer }; });
     m_store.watch(
-        m_index, [this](const std::vector<TargetRecord>& records) { takeTargets(records); }, [this](const ConfigMessage& config) { takeConfig(config); });
-    later(static_cast<Micros>(m_context.random.uniform() * static_cast<double>(toMicros(m_context.experiment.deployment.heartbeat))), [this] { tick(); });
+        m_index, [this](const std::vector<TargetRecord>& records) { applyTargets(records); }, [this](const ConfigMessage& config) { applyConfig(config); });
+    schedule(static_cast<Micros>(m_context.random.uniform() * static_cast<double>(toMicros(m_context.experiment.deployment.heartbeat))), [this] { tick(); });
 }
 
 void ModelBalancer::kill()
 {
-    ++m_life;
+    ++m_generation;
     m_context.network.setAlive(self(), false);
     m_store.watch(
         m_index, [](const std::vector<TargetRecord>&) {}, [](const ConfigMessage&) {});
@@ -71,13 +71,13 @@
 }
 
 /// Schedules an action of this process. The action is skipped if the process has terminated, and delayed while it is frozen.
-void ModelBalancer::later(Micros delay, EventLoop::Action action)
+void ModelBalancer::schedule(Micros delay, EventLoop::Action action)
 {
-    m_context.loop.after(delay, [this, life = m_life, action = std::move(action)] {
-        if (life != m_life)
+    m_context.loop.after(delay, [this, generation = m_generation, action = std::move(action)] {
+        if (generation != m_generation)
             return;
         if (m_context.network.isFrozen(self()))
-            later(redialAfter, action);
+            schedule(redialDelay, action);
         else
             action();
     });
@@ -86,7 +86,7 @@
 void ModelBalancer::receive(Endpoint from, Message message)
 {
     if (from.kind == EndpointKind::Agent)
-        m_peers[from.index].heardAt = m_context.loop.nowMillis();
+        m_peers[from.index].lastReceivedAt = m_context.loop.nowMillis();
     recordRun(m_pause, m_context.policy.pause, m_context.loop.nowMillis());
     auto* packet = std::get_if<FlowPacket>(&message);
     if (packet && isDroppingPackets(m_pause, m_context.loop.nowMillis()))
@@ -96,20 +96,20 @@
     else if (const auto* heartbeat = std::get_if<HeartbeatMessage>(&message))
         receiveHeartbeat(*heartbeat, from.index);
     else if (const auto* config = std::get_if<ConfigMessage>(&message))
-        takeConfig(*config);
+        applyConfig(*config);
     else if (const auto* redirects = std::get_if<RedirectMessage>(&message)) {
         for (std::size_t agent = 0; agent < m_members.size(); ++agent) {
             if (m_members[agent].token.upstream == redirects->target && m_members[agent].linked)
-                toAgent(agent, *redirects);
+                sendToAgent(agent, *redirects);
         }
     } else if (const auto* query = std::get_if<LedgerQueryMessage>(&message)) {
         const auto holder = findMember(m_memberIndex, query->holder);
         if (holder.exact && m_members[*holder.exact].linked)
-            toAgent(*holder.exact, *query);
+            sendToAgent(*holder.exact, *query);
     } else if (const auto* answer = std::get_if<LedgerAnswerMessage>(&message)) {
         const auto asker = findMember(m_memberIndex, answer->asker);
         if (asker.exact && m_members[*asker.exact].linked)
-            toAgent(*asker.exact, *answer);
+            sendToAgent(*asker.exact, *answer);
     }
 }
 
@@ -151,7 +151,7 @@
         return resetFlow(packet, RefusalReason::NoUpstream);
     packet.owner = {};
     const std::size_t agent = usable[packet.flow % usable.size()];
-    toAgent(agent, std::move(packet));
+    sendToAgent(agent, std::move(packet));
 }
 
 void ModelBalancer::apply(const RouteResult& result, FlowPacket packet, std::size_t firstMember)
@@ -160,13 +160,13 @@
     case RouteAction::ToMember: {
         const std::size_t agent = firstMember + result.member;
         if (packet.kind == ModelPacketKind::Open && !packet.owner.isSet()) {
-            noteFirstRanked(packet, agent);
+            recordFirstRanked(packet, agent);
             ++m_members[agent].load;
         }
-        return toAgent(agent, std::move(packet));
+        return sendToAgent(agent, std::move(packet));
     }
     case RouteAction::AnyAgent:
-        return toAnyAgent(std::move(packet));
+        return sendToAnyAgent(std::move(packet));
     case RouteAction::ResetFlow:
         return resetFlow(packet, result.reason);
     case RouteAction::Drop:
@@ -176,22 +176,22 @@
 
 /// Records in the packet the member at which other balancers will look for the flow first, if the flow was placed at another
 /// member.
-void ModelBalancer::noteFirstRanked(FlowPacket& packet, std::size_t chosen) const
+void ModelBalancer::recordFirstRanked(FlowPacket& packet, std::size_t chosen) const
 {
     const auto members = serviceMembers(packet.service);
     const auto first = nextInRanking(packet.flow, members, {});
     const std::size_t firstAgent = m_firstOfService[packet.service] + first.value_or(0);
-    packet.passedOver = first && firstAgent != chosen ? m_members[firstAgent].token.upstream : 0;
+    packet.firstRanked = first && firstAgent != chosen ? m_members[firstAgent].token.upstream : 0;
 }
 
-void ModelBalancer::toAgent(std::size_t agent, Message message)
+void ModelBalancer::sendToAgent(std::size_t agent, Message message)
 {
     if (!std::holds_alternative<FlowPacket>(message) && !m_context.metrics.isWarmingUp)
         m_context.metrics.controlBytes += encodedBytes(message);
     m_context.network.send(self(), { EndpointKind::Agent, agent }, std::move(message));
 }
 
-void ModelBalancer::toAnyAgent(FlowPacket packet)
+void ModelBalancer::sendToAnyAgent(FlowPacket packet)
 {
     std::vector<std::size_t> linked;
     for (std::size_t agent = 0; agent < m_members.size(); ++agent) {
@@ -199,7 +199,7 @@
             linked.push_back(agent);
     }
     if (!linked.empty())
-        toAgent(linked[m_context.random.below(linked.size())], std::move(packet));
+        sendToAgent(linked[m_context.random.below(linked.size())], std::move(packet));
 }
 
 void ModelBalancer::resetFlow(const FlowPacket& packet, RefusalReason reason)
@@ -224,16 +224,16 @@
         updateStates();
     }
     if (nextConfigStep(m_config.version, heartbeat.configVersion) == ConfigStep::Offer)
-        offerConfig(agent);
+        sendConfig(agent);
 }
 
-void ModelBalancer::offerConfig(std::size_t agent)
+void ModelBalancer::sendConfig(std::size_t agent)
 {
     if (m_members[agent].linked && m_config.version != 0)
-        toAgent(agent, m_config);
+        sendToAgent(agent, m_config);
 }
 
-void ModelBalancer::takeTargets(const std::vector<TargetRecord>& targets)
+void ModelBalancer::applyTargets(const std::vector<TargetRecord>& targets)
 {
     for (std::size_t agent = 0; agent < targets.size(); ++agent) {
         const TargetRecord& record = targets[agent];
@@ -249,10 +249,10 @@
             dial(agent);
     }
     updateStates();
-    rebuild();
+    rebuildMemberIndex();
 }
 
-void ModelBalancer::takeConfig(const ConfigMessage& config)
+void ModelBalancer::applyConfig(const ConfigMessage& config)
 {
     if (!supersedes(m_config.version, config.version, m_context.policy.configOrder))
         return;
@@ -260,7 +260,7 @@
     m_context.history.record([&] { return HistoryEvent { .kind = HistoryKind::ConfigInForce, .process = balancerName(m_index), .version = config.version }; });
     // Sent before the states change, so that the agents of a data centre that is taken out of service get it first.
     for (std::size_t agent = 0; agent < m_members.size(); ++agent)
-        offerConfig(agent);
+        sendConfig(agent);
     updateStates();
 }
 
@@ -270,7 +270,7 @@
         return;
     m_peers[agent].isDialing = true;
     const Endpoint peer { EndpointKind::Agent, agent };
-    later(2 * m_context.network.delay(self(), peer), [this, agent, peer] {
+    schedule(2 * m_context.network.delay(self(), peer), [this, agent, peer] {
         m_peers[agent].isDialing = false;
         if (!m_peers[agent].announced || m_members[agent].linked)
             return;
@@ -279,7 +279,7 @@
             m_context.network.setSilent(m_index, agent, false);
             setLinked(agent, true);
         } else {
-            later(redialAfter, [this, agent] { dial(agent); });
+            schedule(redialDelay, [this, agent] { dial(agent); });
         }
     });
 }
@@ -287,26 +287,26 @@
 void ModelBalancer::setLinked(std::size_t agent, bool linked)
 {
     m_members[agent].linked = linked;
-    m_peers[agent].heardAt = m_context.loop.nowMillis();
+    m_peers[agent].lastReceivedAt = m_context.loop.nowMillis();
     if (!linked)
         return;
-    toAgent(agent, HeartbeatMessage { .configVersion = m_config.version, .isHello = true });
-    offerConfig(agent);
+    sendToAgent(agent, HeartbeatMessage { .configVersion = m_config.version, .isHello = true });
+    sendConfig(agent);
 }
 
-void ModelBalancer::loseLink(std::size_t agent)
+void ModelBalancer::handleLinkLoss(std::size_t agent)
 {
     if (!m_context.network.isAlive(self()) || !m_members[agent].linked)
         return;
     setLinked(agent, false);
-    later(redialAfter, [this, agent] { dial(agent); });
+    schedule(redialDelay, [this, agent] { dial(agent); });
 }
 
 MemberState ModelBalancer::stateOf(std::size_t agent) const
 {
     const std::size_t dataCentre = dataCentreOf(agent, m_context.experiment.deployment);
-    const bool isOut = dataCentre < m_config.dataCentreOut.size() && m_config.dataCentreOut[dataCentre];
-    if (isOut && m_context.policy.dataCentreGuard)
+    const bool isDataCentreOut = dataCentre < m_config.dataCentreOut.size() && m_config.dataCentreOut[dataCentre];
+    if (isDataCentreOut && m_context.policy.dataCentreGuard)
         return MemberState::Out;
     if (!m_peers[agent].announced || isLapsed(m_peers[agent].lease))
         return MemberState::Lapsed;
@@ -319,7 +319,7 @@
         m_members[agent].state = stateOf(agent);
 }
 
-void ModelBalancer::rebuild()
+void ModelBalancer::rebuildMemberIndex()
 {
     m_memberIndex = buildMemberIndex(m_members);
 }
@@ -334,25 +334,25 @@
     const Millis interval = heartbeatInterval(links, pacing);
     m_placing.loadReportInterval = std::max(interval, deployment.heartbeat);
     const Millis silence = std::max(deployment.linkSilence, silenceLimit(interval, pacing));
-    watchLeases();
+    observeLeases();
     for (std::size_t agent = 0; agent < m_members.size(); ++agent) {
         if (!m_members[agent].linked)
             continue;
-        if (now - m_peers[agent].heardAt > silence)
-            loseLink(agent);
+        if (now - m_peers[agent].lastReceivedAt > silence)
+            handleLinkLoss(agent);
         else
-            toAgent(agent, HeartbeatMessage { .configVersion = m_config.version });
+            sendToAgent(agent, HeartbeatMessage { .configVersion = m_config.version });
     }
     updateStates();
-    later(toMicros(interval), [this] { tick(); });
+    schedule(toMicros(interval), [this] { tick(); });
 }
 
-void ModelBalancer::watchLeases()
+void ModelBalancer::observeLeases()
 {
     const Millis now = m_context.loop.nowMillis();
     for (std::size_t agent = 0; agent < m_members.size(); ++agent) {
-        addObservedTime(m_peers[agent].lease, { .maxStep = 2 * m_context.experiment.deployment.heartbeat }, m_store.answers(), now);
-        if (m_store.answers())
+        addObservedTime(m_peers[agent].lease, { .maxStep = 2 * m_context.experiment.deployment.heartbeat }, m_store.isAvailable(), now);
+        if (m_store.isAvailable())
             recordRenewal(m_peers[agent].lease, m_store.targets()[agent].renewals, now);
     }
 }
--- a/bench/libmodel/modelbalancer.h
+++ b/bench/libmodel/modelbalancer.h
@@ -20,7 +20,7 @@
     void kill();
 
     /// Handles the loss of the link to an agent, for example when the agent's process terminates.
-    void loseLink(std::size_t agent);
+    void handleLinkLoss(std::size_t agent);
 
     bool isLinked(std::size_t agent) const { return m_members[agent].linked; }
     ConfigVersion configVersion() const { return m_config.version; }
@@ -28,7 +28,7 @@
 private:
     struct Peer {
         bool isDialing = false;
-        Millis heardAt = 0;
+        Millis lastReceivedAt = 0;
         bool announced = false;
         bool draining = false;
         LeaseView lease;
@@ -40,23 +40,23 @@
     void route(FlowPacket packet);
     void routeModulo(FlowPacket packet);
     void apply(const RouteResult& result, FlowPacket packet, std::size_t firstMember);
-    void noteFirstRanked(FlowPacket& packet, std::size_t chosen) const;
-    void toAgent(std::size_t agent, Message message);
-    void toAnyAgent(FlowPacket packet);
+    void recordFirstRanked(FlowPacket& packet, std::size_t chosen) const;
+    void sendToAgent(std::size_t agent, Message message);
+    void sendToAnyAgent(FlowPacket packet);
     void resetFlow(const FlowPacket& packet, RefusalReason reason);
-    void takeTargets(const std::vector<TargetRecord>& targets);
-    void takeConfig(const ConfigMessage& config);
-    void offerConfig(std::size_t agent);
+    void applyTargets(const std::vector<TargetRecord>& targets);
+    void applyConfig(const ConfigMessage& config);
+    void sendConfig(std::size_t agent);
     void dial(std::size_t agent);
     void setLinked(std::size_t agent, bool linked);
     void updateStates();
     MemberState stateOf(std::size_t agent) const;
-    void rebuild();
+    void rebuildMemberIndex();
     void tick();
-    void watchLeases();
+    void observeLeases();
     std::span<const Member> serviceMembers(std::size_t service) const;
     Endpoint self() const { return { EndpointKind::Balancer, m_index }; }
-    void later(Micros delay, EventLoop::Action action);
+    void schedule(Micros delay, EventLoop::Action action);
 
     ModelContext& m_context;
     ModelStore& m_store;
@@ -69,7 +69,7 @@
     ConfigMessage m_config;
     PauseDetector m_pause;
     PlaceOptions m_placing;
-    std::uint64_t m_life = 0;
+    std::uint64_t m_generation = 0;
 };
 
 }
--- a/bench/libmodel/modelcallers.cpp
+++ b/bench/libmodel/modelcallers.cpp
@@ -8,15 +8,15 @@
 
     constexpr Micros resendAfter = 200 * microsPerMilli;
     /// Number of times that an unacknowledged packet is sent before its flow counts as silent: about 3 s.
-    constexpr std::uint32_t sendsUntilSilent = 15;
+    constexpr std::uint32_t maxUnacknowledgedSends = 15;
     /// Delay before a caller that could not open a flow tries again.
-    constexpr Micros reopenAfter = 500 * microsPerMilli;
+    constexpr Micros reopenDelay = 500 * microsPerMilli;
     /// Interval at which a request without an open flow looks for one.
-    constexpr Micros flowWait = 50 * microsPerMilli;
+    constexpr Micros flowPollInterval = 50 * microsPerMilli;
 
-    HistoryKind eventKindOf(RequestEnd how)
+    HistoryKind eventKindOf(RequestEnd outcome)
     {
-        switch (how) {
+        switch (outcome) {
         case RequestEnd::Answered:
             return HistoryKind::AnswerWhole;
         case RequestEnd::RefusedNotRun:
@@ -60,11 +60,11 @@
 void ModelCallers::start()
 {
     // In the last fifth of the warm-up no flows are opened, so that load reports are current when measuring starts.
-    const double openWithin = static_cast<double>(toMicros(m_context.experiment.warmUp)) * 0.8;
+    const double openingPeriod = static_cast<double>(toMicros(m_context.experiment.warmUp)) * 0.8;
     for (std::size_t caller = 0; caller < m_callers.size(); ++caller)
-        m_context.loop.after(static_cast<Micros>(m_context.random.uniform() * openWithin), [this, caller] { openFlow(caller); });
+        m_context.loop.after(static_cast<Micros>(m_context.random.uniform() * openingPeriod), [this, caller] { openFlow(caller); });
     for (std::size_t service = 0; service + 1 < m_firstOfService.size(); ++service)
-        m_context.loop.at(static_cast<Micros>(openWithin), [this, service] { offer(service); });
+        m_context.loop.at(static_cast<Micros>(openingPeriod), [this, service] { generateRequests(service); });
 }
 
 void ModelCallers::setReachable(std::size_t balancer, bool reachable)
@@ -109,22 +109,22 @@
     const bool isCurrent = caller.flow == packet.flow;
     switch (packet.kind) {
     case ModelPacketKind::Opened:
-        return takeOpened(packet);
+        return handleOpened(packet);
     case ModelPacketKind::DataAck:
         if (isCurrent)
             caller.isWaitingForAck = false;
         return;
     case ModelPacketKind::RequestAck:
-        if (const auto first = m_firstOfTry.find(packet.request.id); first != m_firstOfTry.end())
+        if (const auto first = m_firstIdByAttempt.find(packet.request.id); first != m_firstIdByAttempt.end())
             m_pending.at(first->second).isAcknowledged = true;
         return;
     case ModelPacketKind::Answer:
     case ModelPacketKind::Refusal:
-        return takeFinal(packet);
+        return handleFinal(packet);
     case ModelPacketKind::Reset:
         // A reset with another owner than the flow's belongs to an earlier packet of the flow.
         if (isCurrent && (packet.owner == caller.owner || !m_context.policy.ownerTokens))
-            loseFlow(packet.caller, packet.verdict.reason, false);
+            handleFlowLoss(packet.caller, packet.verdict.reason, false);
         return;
     default:
         return;
@@ -146,7 +146,7 @@
     Caller& opening = m_callers[caller];
     if (opening.generation != generation || opening.isOpen)
         return;
-    if (sends >= sendsUntilSilent)
+    if (sends >= maxUnacknowledgedSends)
         return openFlow(caller);
     ++m_context.metrics.openTries;
     FlowPacket open = packetOf(caller, ModelPacketKind::Open);
@@ -155,7 +155,7 @@
     m_context.loop.after(resendAfter, [this, caller, generation, sends] { sendOpen(caller, generation, sends + 1); });
 }
 
-void ModelCallers::takeOpened(const FlowPacket& packet)
+void ModelCallers::handleOpened(const FlowPacket& packet)
 {
     Caller& caller = m_callers[packet.caller];
     if (caller.flow == packet.flow && caller.isOpen && caller.owner == packet.owner)
@@ -178,9 +178,9 @@
     const LoadSpec& load = loadOf(caller.service, m_context.experiment);
     const std::uint64_t generation = caller.generation;
     const std::size_t index = packet.caller;
-    m_context.loop.after(static_cast<Micros>(m_context.random.uniform() * static_cast<double>(toMicros(load.flowInterval))), [this, index, generation] { ping(index, generation); });
-    if (load.flowLife > 0)
-        m_context.loop.after(static_cast<Micros>(m_context.random.exponential(static_cast<double>(toMicros(load.flowLife)))), [this, index, generation] { closeFlow(index, generation); });
+    m_context.loop.after(static_cast<Micros>(m_context.random.uniform() * static_cast<double>(toMicros(load.flowInterval))), [this, index, generation] { keepFlowAlive(index, generation); });
+    if (load.flowLifetime > 0)
+        m_context.loop.after(static_cast<Micros>(m_context.random.exponential(static_cast<double>(toMicros(load.flowLifetime)))), [this, index, generation] { closeFlow(index, generation); });
 }
 
 void ModelCallers::closeFlow(std::size_t caller, std::uint64_t generation)
@@ -198,13 +198,13 @@
     openFlow(caller);
 }
 
-void ModelCallers::ping(std::size_t caller, std::uint64_t generation)
+void ModelCallers::keepFlowAlive(std::size_t caller, std::uint64_t generation)
 {
     if (m_callers[caller].generation != generation || !m_callers[caller].isOpen)
         return;
     m_callers[caller].isWaitingForAck = true;
     sendData(caller, generation, 0);
-    m_context.loop.after(toMicros(loadOf(m_callers[caller].service, m_context.experiment).flowInterval), [this, caller, generation] { ping(caller, generation); });
+    m_context.loop.after(toMicros(loadOf(m_callers[caller].service, m_context.experiment).flowInterval), [this, caller, generation] { keepFlowAlive(caller, generation); });
 }
 
 void ModelCallers::sendData(std::size_t caller, std::uint64_t generation, std::uint32_t sends)
@@ -212,13 +212,13 @@
     const Caller& sending = m_callers[caller];
     if (sending.generation != generation || !sending.isWaitingForAck)
         return;
-    if (sends >= sendsUntilSilent)
-        return loseFlow(caller, RefusalReason::FlowSilent, true);
+    if (sends >= maxUnacknowledgedSends)
+        return handleFlowLoss(caller, RefusalReason::FlowSilent, true);
     sendToFabric(packetOf(caller, ModelPacketKind::Data));
     m_context.loop.after(resendAfter, [this, caller, generation, sends] { sendData(caller, generation, sends + 1); });
 }
 
-void ModelCallers::loseFlow(std::size_t caller, RefusalReason reason, bool isSilent)
+void ModelCallers::handleFlowLoss(std::size_t caller, RefusalReason reason, bool isSilent)
 {
     Caller& losing = m_callers[caller];
     if (losing.isOpen) {
@@ -236,14 +236,14 @@
     }
     std::vector<RequestId> interrupted;
     for (const auto& [first, pending] : m_pending) {
-        if (pending.flow == losing.flow && pending.isOnTheWay)
+        if (pending.flow == losing.flow && pending.isInFlight)
             interrupted.push_back(first);
     }
     const bool wasOpen = losing.isOpen;
     losing.isOpen = false;
     losing.flow = 0;
     const std::uint64_t generation = ++losing.generation;
-    m_context.loop.after(wasOpen ? 0 : reopenAfter, [this, caller, generation] {
+    m_context.loop.after(wasOpen ? 0 : reopenDelay, [this, caller, generation] {
         if (m_callers[caller].generation == generation)
             openFlow(caller);
     });
@@ -251,9 +251,9 @@
         retryOrEnd(first, { .ran = Ran::Unknown, .reason = reason, .flowSilent = isSilent });
 }
 
-void ModelCallers::offer(std::size_t service)
+void ModelCallers::generateRequests(std::size_t service)
 {
-    if (!m_isOffering)
+    if (!m_isSendingRequests)
         return;
     const LoadSpec& load = loadOf(service, m_context.experiment);
     const ServiceSpec& spec = m_context.experiment.deployment.services[service];
@@ -262,14 +262,14 @@
     if (rate <= 0)
         return;
     makeRequest(service);
-    m_context.loop.after(static_cast<Micros>(m_context.random.exponential(static_cast<double>(microsPerMilli) / rate)), [this, service] { offer(service); });
+    m_context.loop.after(static_cast<Micros>(m_context.random.exponential(static_cast<double>(microsPerMilli) / rate)), [this, service] { generateRequests(service); });
 }
 
 void ModelCallers::makeRequest(std::size_t service)
 {
     const LoadSpec& load = loadOf(service, m_context.experiment);
     RandomSource& random = m_context.random;
-    Pending pending;
+    PendingRequest pending;
     pending.request.id = random.id();
     pending.request.key = random.id();
     pending.request.once = random.chance(load.onceShare);
@@ -278,25 +278,25 @@
     // Half of the mean is fixed, as the upstream's overhead for each request is; the rest is exponential.
     pending.request.work = static_cast<Micros>(mean / 2 + random.exponential(mean / 2));
     pending.firstId = pending.request.id;
-    pending.madeAt = m_context.loop.nowMillis();
-    pending.deadline = pending.madeAt + load.deadline * (pending.request.isLong ? load.longWork / load.shortWork : 1);
-    pending.caller = openCaller(service, {}).value_or(m_firstOfService[service]);
+    pending.createdAt = m_context.loop.nowMillis();
+    pending.deadline = pending.createdAt + load.deadline * (pending.request.isLong ? load.longWork / load.shortWork : 1);
+    pending.caller = chooseOpenCaller(service, {}).value_or(m_firstOfService[service]);
     if (pending.request.once && random.chance(load.repeatShare))
         repeat(pending);
     submit(std::move(pending));
 }
 
 /// Submits the same work again as another call with the same key, as an impatient end user does.
-void ModelCallers::repeat(const Pending& pending)
+void ModelCallers::repeat(const PendingRequest& pending)
 {
-    Pending repeated = pending;
+    PendingRequest repeated = pending;
     repeated.request.id = m_context.random.id();
     repeated.firstId = repeated.request.id;
     const auto wait = static_cast<Micros>(m_context.random.uniform() * static_cast<double>(2 * pending.request.work));
     m_context.loop.after(wait, [this, repeated] { submit(repeated); });
 }
 
-void ModelCallers::submit(Pending pending)
+void ModelCallers::submit(PendingRequest pending)
 {
     const RequestId first = pending.firstId;
     const std::size_t service = m_callers[pending.caller].service;
@@ -315,42 +315,42 @@
         ++m_context.metrics.second(sinceStart(m_context)).offered;
     }
     recordFirstTry(budgetOf(pending.caller), {});
-    m_context.loop.at(toMicros(pending.deadline), [this, first] { giveUp(first); });
+    m_context.loop.at(toMicros(pending.deadline), [this, first] { handleDeadline(first); });
     m_pending.emplace(first, std::move(pending));
-    sendTry(first);
+    sendAttempt(first);
 }
 
-std::optional<std::size_t> ModelCallers::openCaller(std::size_t service, const OwnerToken& avoided)
+std::optional<std::size_t> ModelCallers::chooseOpenCaller(std::size_t service, const OwnerToken& excludedOwner)
 {
     const std::size_t begin = m_firstOfService[service];
     const std::size_t count = m_firstOfService[service + 1] - begin;
     constexpr int draws = 20;
     for (int draw = 0; draw < draws; ++draw) {
         const std::size_t caller = begin + m_context.random.below(count);
-        if (m_callers[caller].isOpen && !m_callers[caller].hasFeed && m_callers[caller].owner != avoided)
+        if (m_callers[caller].isOpen && !m_callers[caller].hasFeed && m_callers[caller].owner != excludedOwner)
             return caller;
     }
     return std::nullopt;
 }
 
-void ModelCallers::sendTry(RequestId first)
+void ModelCallers::sendAttempt(RequestId first)
 {
     const auto found = m_pending.find(first);
     if (found == m_pending.end())
         return;
-    Pending& pending = found->second;
+    PendingRequest& pending = found->second;
     const Caller& caller = m_callers[pending.caller];
     if (!caller.isOpen) {
-        if (const auto other = openCaller(caller.service, {}))
+        if (const auto other = chooseOpenCaller(caller.service, {}))
             pending.caller = *other;
-        m_context.loop.after(flowWait, [this, first] { sendTry(first); });
+        m_context.loop.after(flowPollInterval, [this, first] { sendAttempt(first); });
         return;
     }
     const RequestId tried = pending.tries == 0 ? first : m_context.random.id();
     ++pending.tries;
     pending.request.id = tried;
     if (pending.request.once) {
-        std::vector<OwnerToken>& owners = m_ownersOfKey[pending.request.key];
+        std::vector<OwnerToken>& owners = m_ownersByKey[pending.request.key];
         pending.request.earlier = owners;
         if (std::ranges::find(owners, caller.owner) == owners.end())
             owners.push_back(caller.owner);
@@ -358,33 +358,33 @@
     pending.flow = caller.flow;
     pending.sends = 0;
     pending.isAcknowledged = false;
-    pending.isOnTheWay = true;
+    pending.isInFlight = true;
     pending.sentAt = m_context.loop.now();
-    m_firstOfTry[tried] = first;
-    resendTry(first, tried);
+    m_firstIdByAttempt[tried] = first;
+    retransmitAttempt(first, tried);
 }
 
-void ModelCallers::resendTry(RequestId first, RequestId tried)
+void ModelCallers::retransmitAttempt(RequestId first, RequestId tried)
 {
     const auto found = m_pending.find(first);
-    if (found == m_pending.end() || found->second.request.id != tried || found->second.isAcknowledged || !found->second.isOnTheWay)
+    if (found == m_pending.end() || found->second.request.id != tried || found->second.isAcknowledged || !found->second.isInFlight)
         return;
-    Pending& pending = found->second;
+    PendingRequest& pending = found->second;
     if (m_callers[pending.caller].flow != pending.flow)
         return;
-    if (++pending.sends > sendsUntilSilent)
-        return loseFlow(pending.caller, RefusalReason::FlowSilent, true);
+    if (++pending.sends > maxUnacknowledgedSends)
+        return handleFlowLoss(pending.caller, RefusalReason::FlowSilent, true);
     FlowPacket packet = packetOf(pending.caller, ModelPacketKind::Request);
     packet.request = pending.request;
     packet.request.deadline = std::max<Millis>(0, pending.deadline - m_context.loop.nowMillis());
     sendToFabric(std::move(packet));
-    m_context.loop.after(resendAfter, [this, first, tried] { resendTry(first, tried); });
+    m_context.loop.after(resendAfter, [this, first, tried] { retransmitAttempt(first, tried); });
 }
 
-void ModelCallers::takeFinal(const FlowPacket& packet)
+void ModelCallers::handleFinal(const FlowPacket& packet)
 {
-    const auto first = m_firstOfTry.find(packet.request.id);
-    const bool isPending = first != m_firstOfTry.end();
+    const auto first = m_firstIdByAttempt.find(packet.request.id);
+    const bool isPending = first != m_firstIdByAttempt.end();
     const bool isAnswer = packet.kind == ModelPacketKind::Answer;
     // An answer with the content of another request is dropped; the correct one is retransmitted until it is acknowledged.
     if (isPending && isAnswer && m_context.policy.answerGuard && packet.answerHash != answerHashOf(m_pending.at(first->second).request))
@@ -394,15 +394,15 @@
     sendToFabric(std::move(acknowledge));
     if (!isPending)
         return;
-    Pending& pending = m_pending.at(first->second);
+    PendingRequest& pending = m_pending.at(first->second);
     if (!isAnswer)
-        return takeRefusal(pending, packet.verdict);
+        return handleRefusal(pending, packet.verdict);
     if (!m_context.metrics.isWarmingUp)
-        m_context.metrics.answerLatency.add(static_cast<double>(m_context.loop.nowMillis() - pending.madeAt));
+        m_context.metrics.answerLatency.add(static_cast<double>(m_context.loop.nowMillis() - pending.createdAt));
     end(first->second, RequestEnd::Answered, packet.answerHash);
 }
 
-void ModelCallers::takeRefusal(Pending& pending, const RefusalVerdict& verdict)
+void ModelCallers::handleRefusal(PendingRequest& pending, const RefusalVerdict& verdict)
 {
     if (verdict.ran == Ran::No && !m_context.metrics.isWarmingUp)
         m_context.metrics.refusalLatency.add(static_cast<double>(m_context.loop.now() - pending.sentAt) / static_cast<double>(microsPerMilli));
@@ -412,7 +412,7 @@
 
 void ModelCallers::retryOrEnd(RequestId first, const AttemptResult& result)
 {
-    Pending& pending = m_pending.at(first);
+    PendingRequest& pending = m_pending.at(first);
     const RetryFacts facts {
         .idempotent = !pending.request.once,
         .tries = pending.tries,
@@ -420,8 +420,8 @@
         .now = m_context.loop.nowMillis(),
     };
     const RetryVerdict verdict = decideRetry(budgetOf(pending.caller), {}, facts, result);
-    pending.isOnTheWay = false;
-    m_firstOfTry.erase(pending.request.id);
+    pending.isInFlight = false;
+    m_firstIdByAttempt.erase(pending.request.id);
     if (!m_context.metrics.isWarmingUp)
         ++m_context.metrics.retryDecisions[static_cast<std::size_t>(verdict.reason)];
     pending.mayHaveRun = pending.mayHaveRun || result.ran == Ran::Unknown;
@@ -437,19 +437,19 @@
     const Caller& caller = m_callers[pending.caller];
     const OwnerToken tried = caller.owner;
     if (verdict.newFlow) {
-        if (const auto other = openCaller(caller.service, tried))
+        if (const auto other = chooseOpenCaller(caller.service, tried))
             pending.caller = *other;
     }
-    m_context.loop.after(toMicros(verdict.delay), [this, first] { sendTry(first); });
+    m_context.loop.after(toMicros(verdict.delay), [this, first] { sendAttempt(first); });
 }
 
-void ModelCallers::giveUp(RequestId first)
+void ModelCallers::handleDeadline(RequestId first)
 {
     const auto found = m_pending.find(first);
     if (found == m_pending.end())
         return;
-    const Pending& pending = found->second;
-    if (!pending.isOnTheWay) // Between two attempts: the last one was refused as not run, or none was sent.
+    const PendingRequest& pending = found->second;
+    if (!pending.isInFlight) // Between two attempts: the last one was refused as not run, or none was sent.
         return end(first, pending.mayHaveRun ? RequestEnd::Unknown : RequestEnd::RefusedNotRun, static_cast<std::uint64_t>(RefusalReason::DeadlinePassed));
     if (m_callers[pending.caller].flow == pending.flow) {
         FlowPacket cancel = packetOf(pending.caller, ModelPacketKind::Cancel);
@@ -459,30 +459,30 @@
     end(first, RequestEnd::Unknown, static_cast<std::uint64_t>(RefusalReason::DeadlinePassed));
 }
 
-void ModelCallers::end(RequestId first, RequestEnd how, std::uint64_t detail)
+void ModelCallers::end(RequestId first, RequestEnd outcome, std::uint64_t detail)
 {
     const auto found = m_pending.find(first);
     const OwnerToken& owner = m_callers[found->second.caller].owner;
-    if (how == RequestEnd::Unknown && !m_context.metrics.isWarmingUp)
+    if (outcome == RequestEnd::Unknown && !m_context.metrics.isWarmingUp)
         ++m_context.metrics.unknownBy[static_cast<std::size_t>(m_causeOf(owner, static_cast<RefusalReason>(detail)))];
     m_context.history.record([&] {
         return HistoryEvent {
             .who = "callers",
-            .kind = eventKindOf(how),
+            .kind = eventKindOf(outcome),
             .key = std::to_string(found->second.request.key),
             .call = first,
-            .bodyHash = how == RequestEnd::Answered ? detail : 0,
-            .reason = how == RequestEnd::Answered ? RefusalReason::None : static_cast<RefusalReason>(detail),
+            .bodyHash = outcome == RequestEnd::Answered ? detail : 0,
+            .reason = outcome == RequestEnd::Answered ? RefusalReason::None : static_cast<RefusalReason>(detail),
         };
     });
     if (!m_context.metrics.isWarmingUp) {
-        ++m_context.metrics.ended[static_cast<std::size_t>(how)];
-        SecondOfService& second = m_context.metrics.second(sinceStart(m_context));
-        second.answered += how == RequestEnd::Answered ? 1 : 0;
-        second.refused += how == RequestEnd::RefusedNotRun || how == RequestEnd::RefusedRan ? 1 : 0;
-        second.unknown += how == RequestEnd::Unknown ? 1 : 0;
+        ++m_context.metrics.ended[static_cast<std::size_t>(outcome)];
+        SecondMetrics& second = m_context.metrics.second(sinceStart(m_context));
+        second.answered += outcome == RequestEnd::Answered ? 1 : 0;
+        second.refused += outcome == RequestEnd::RefusedNotRun || outcome == RequestEnd::RefusedRan ? 1 : 0;
+        second.unknown += outcome == RequestEnd::Unknown ? 1 : 0;
     }
-    m_firstOfTry.erase(found->second.request.id);
+    m_firstIdByAttempt.erase(found->second.request.id);
     m_pending.erase(found);
 }
 
--- a/bench/libmodel/modelcallers.h
+++ b/bench/libmodel/modelcallers.h
@@ -30,7 +30,7 @@
     /// Sets the probability that a request packet is preceded by a copy with the address of another service.
     void setStrayShare(double share) { m_strayShare = share; }
     /// Stops creating requests; those already made are still completed.
-    void stopOffering() { m_isOffering = false; }
+    void stopRequests() { m_isSendingRequests = false; }
 
 private:
     struct Caller {
@@ -45,18 +45,18 @@
     };
 
     /// A request with all its attempts, until its outcome.
-    struct Pending {
+    struct PendingRequest {
         std::size_t caller = 0;
         FlowId flow = 0;
         ModelRequest request;
         RequestId firstId = 0;
         Millis deadline = 0;
-        Millis madeAt = 0;
+        Millis createdAt = 0;
         Micros sentAt = 0;
         std::uint32_t tries = 0;
         std::uint32_t sends = 0;
         bool isAcknowledged = false;
-        bool isOnTheWay = false;
+        bool isInFlight = false;
         /// An attempt ended with an unknown outcome.
         bool mayHaveRun = false;
     };
@@ -64,25 +64,25 @@
     void receive(const FlowPacket& packet);
     void openFlow(std::size_t caller);
     void sendOpen(std::size_t caller, std::uint64_t generation, std::uint32_t sends);
-    void takeOpened(const FlowPacket& packet);
+    void handleOpened(const FlowPacket& packet);
     void closeFlow(std::size_t caller, std::uint64_t generation);
-    void ping(std::size_t caller, std::uint64_t generation);
+    void keepFlowAlive(std::size_t caller, std::uint64_t generation);
     void sendData(std::size_t caller, std::uint64_t generation, std::uint32_t sends);
-    void loseFlow(std::size_t caller, RefusalReason reason, bool isSilent);
+    void handleFlowLoss(std::size_t caller, RefusalReason reason, bool isSilent);
 
-    void offer(std::size_t service);
+    void generateRequests(std::size_t service);
     void makeRequest(std::size_t service);
-    void submit(Pending pending);
-    void repeat(const Pending& pending);
-    std::optional<std::size_t> openCaller(std::size_t service, const OwnerToken& avoided);
-    void sendTry(RequestId first);
-    void resendTry(RequestId first, RequestId tried);
-    void takeFinal(const FlowPacket& packet);
-    void takeRefusal(Pending& pending, const RefusalVerdict& verdict);
+    void submit(PendingRequest pending);
+    void repeat(const PendingRequest& pending);
+    std::optional<std::size_t> chooseOpenCaller(std::size_t service, const OwnerToken& excludedOwner);
+    void sendAttempt(RequestId first);
+    void retransmitAttempt(RequestId first, RequestId tried);
+    void handleFinal(const FlowPacket& packet);
+    void handleRefusal(PendingRequest& pending, const RefusalVerdict& verdict);
     void retryOrEnd(RequestId first, const AttemptResult& result);
     void tryOnNewFlow(RequestId first);
-    void giveUp(RequestId first);
-    void end(RequestId first, RequestEnd how, std::uint64_t detail);
+    void handleDeadline(RequestId first);
+    void end(RequestId first, RequestEnd outcome, std::uint64_t detail);
     void sendToFabric(FlowPacket packet);
     FlowPacket packetOf(std::size_t caller, ModelPacketKind kind) const;
     const std::string& serviceName(std::size_t service) const;
@@ -94,15 +94,15 @@
     /// Index of the first caller of each service, followed by the number of callers.
     std::vector<std::size_t> m_firstOfService;
     /// Requests in progress by the id of their first attempt, and the id of the first attempt by that of the current one.
-    std::map<RequestId, Pending> m_pending;
-    std::map<RequestId, RequestId> m_firstOfTry;
+    std::map<RequestId, PendingRequest> m_pending;
+    std::map<RequestId, RequestId> m_firstIdByAttempt;
     /// Owners at which each once-only key was attempted; every further attempt names them.
-    std::map<WorkKey, std::vector<OwnerToken>> m_ownersOfKey;
+    std::map<WorkKey, std::vector<OwnerToken>> m_ownersByKey;
     std::vector<RetryBudget> m_budgets;
     std::vector<bool> m_reachable;
     double m_loadFactor = 1;
     double m_strayShare = 0;
-    bool m_isOffering = true;
+    bool m_isSendingRequests = true;
 };
 
 }
--- a/bench/libmodel/modelstore.cpp
+++ b/bench/libmodel/modelstore.cpp
@@ -26,22 +26,22 @@
     ++entry.generation;
     entry.onTargets = std::move(onTargets);
     entry.onConfig = std::move(onConfig);
-    tellTargets(watcher);
-    tellConfig(watcher);
+    notifyTargets(watcher);
+    notifyConfig(watcher);
 }
 
 void ModelStore::announce(std::size_t target, OnAnnounced onAnnounced)
 {
     ++m_context.metrics.platformCalls;
-    if (!m_isUp)
+    if (!m_isAvailable)
         return;
     TargetRecord& record = m_targets[target];
     record.token = { .upstream = targetId(target), .incarnation = record.token.incarnation + 1 };
     record.announced = true;
     record.draining = false;
     ++record.renewals;
-    tellAllTargets();
-    if (losesThisAnswer())
+    notifyAllTargets();
+    if (isAnswerLost())
         return;
     m_context.loop.after(callTime, [onAnnounced = std::move(onAnnounced), incarnation = record.token.incarnation] { onAnnounced(incarnation); });
 }
@@ -49,37 +49,37 @@
 void ModelStore::setDraining(std::size_t target, bool draining)
 {
     ++m_context.metrics.platformCalls;
-    if (!m_isUp || m_targets[target].draining == draining)
+    if (!m_isAvailable || m_targets[target].draining == draining)
         return;
     m_targets[target].draining = draining;
-    tellAllTargets();
+    notifyAllTargets();
 }
 
 void ModelStore::renew(std::size_t target, const OwnerToken& token)
 {
     ++m_context.metrics.platformCalls;
-    if (m_isUp && m_targets[target].token == token)
+    if (m_isAvailable && m_targets[target].token == token)
         ++m_targets[target].renewals;
 }
 
 void ModelStore::withdraw(std::size_t target)
 {
     ++m_context.metrics.platformCalls;
-    if (!m_isUp)
+    if (!m_isAvailable)
         return;
     m_targets[target].announced = false;
-    tellAllTargets();
+    notifyAllTargets();
 }
 
-void ModelStore::apply(ConfigVersion basedOn, std::size_t dataCentre, bool out, OnApplied onApplied)
+void ModelStore::apply(ConfigVersion baseVersion, std::size_t dataCentre, bool out, OnApplied onApplied)
 {
     ++m_context.metrics.platformCalls;
     const auto answer = [this, &onApplied](ApplyResult result) {
         m_context.loop.after(callTime, [onApplied, result] { onApplied(result); });
     };
-    if (!m_isUp)
+    if (!m_isAvailable)
         return answer(ApplyResult::Unreachable);
-    if (basedOn != m_config.version)
+    if (baseVersion != m_config.version)
         return answer(ApplyResult::Conflict);
     ++m_config.version;
     m_config.dataCentreOut[dataCentre] = out;
@@ -91,8 +91,8 @@
         };
     });
     for (std::size_t watcher = 0; watcher < m_watchers.size(); ++watcher)
-        tellConfig(watcher);
-    answer(losesThisAnswer() ? ApplyResult::NoAnswer : ApplyResult::Accepted);
+        notifyConfig(watcher);
+    answer(isAnswerLost() ? ApplyResult::NoAnswer : ApplyResult::Accepted);
 }
 
 void ModelStore::seed(std::vector<TargetRecord> targets)
@@ -106,43 +106,43 @@
         m_watchers[watcher].slowness = factor;
 }
 
-void ModelStore::tellAllTargets()
+void ModelStore::notifyAllTargets()
 {
     for (std::size_t watcher = 0; watcher < m_watchers.size(); ++watcher)
-        tellTargets(watcher);
+        notifyTargets(watcher);
 }
 
-void ModelStore::tellTargets(std::size_t watcher)
+void ModelStore::notifyTargets(std::size_t watcher)
 {
     ++m_context.metrics.platformCalls;
-    const auto news = [this](const Watcher& entry) { entry.onTargets(m_targets); };
-    m_context.loop.after(newsDelay(watcher), [this, watcher, generation = m_watchers[watcher].generation, news] { deliver(watcher, generation, news); });
+    const auto notify = [this](const Watcher& entry) { entry.onTargets(m_targets); };
+    m_context.loop.after(notificationDelay(watcher), [this, watcher, generation = m_watchers[watcher].generation, notify] { deliver(watcher, generation, notify); });
 }
 
 // The notification holds the configuration of this moment. A slow one may arrive after a newer configuration from a peer.
-void ModelStore::tellConfig(std::size_t watcher)
+void ModelStore::notifyConfig(std::size_t watcher)
 {
     ++m_context.metrics.platformCalls;
-    const auto news = [config = m_config](const Watcher& entry) { entry.onConfig(config); };
-    m_context.loop.after(newsDelay(watcher), [this, watcher, generation = m_watchers[watcher].generation, news] { deliver(watcher, generation, news); });
+    const auto notify = [config = m_config](const Watcher& entry) { entry.onConfig(config); };
+    m_context.loop.after(notificationDelay(watcher), [this, watcher, generation = m_watchers[watcher].generation, notify] { deliver(watcher, generation, notify); });
 }
 
-void ModelStore::deliver(std::size_t watcher, std::uint64_t generation, std::function<void(const Watcher&)> news)
+void ModelStore::deliver(std::size_t watcher, std::uint64_t generation, std::function<void(const Watcher&)> notify)
 {
     if (m_watchers[watcher].generation != generation)
         return;
-    if (m_isUp)
-        return news(m_watchers[watcher]);
-    m_context.loop.after(retryInterval, [this, watcher, generation, news = std::move(news)] { deliver(watcher, generation, news); });
+    if (m_isAvailable)
+        return notify(m_watchers[watcher]);
+    m_context.loop.after(retryInterval, [this, watcher, generation, notify = std::move(notify)] { deliver(watcher, generation, notify); });
 }
 
-Micros ModelStore::newsDelay(std::size_t watcher)
+Micros ModelStore::notificationDelay(std::size_t watcher)
 {
     const auto longest = static_cast<double>(toMicros(m_context.experiment.deployment.watchDelay));
     return callTime + static_cast<Micros>(m_context.random.uniform() * longest * m_watchers[watcher].slowness);
 }
 
-bool ModelStore::losesThisAnswer()
+bool ModelStore::isAnswerLost()
 {
     return m_losesAnswers && m_context.random.chance(answerLossShare);
 }
--- a/bench/libmodel/modelstore.h
+++ b/bench/libmodel/modelstore.h
@@ -45,17 +45,17 @@
     void renew(std::size_t target, const OwnerToken& token);
     void withdraw(std::size_t target);
 
-    /// Takes a data centre out of service or returns it, if the current version of the configuration is `basedOn`.
-    void apply(ConfigVersion basedOn, std::size_t dataCentre, bool out, OnApplied onApplied);
+    /// Takes a data centre out of service or returns it, if the current version of the configuration is `baseVersion`.
+    void apply(ConfigVersion baseVersion, std::size_t dataCentre, bool out, OnApplied onApplied);
 
     /// Sets the initial records of all targets before the run.
     void seed(std::vector<TargetRecord> targets);
 
     const ConfigMessage& config() const { return m_config; }
     const std::vector<TargetRecord>& targets() const { return m_targets; }
-    bool answers() const { return m_isUp; }
+    bool isAvailable() const { return m_isAvailable; }
 
-    void setUp(bool up) { m_isUp = up; }
+    void setAvailable(bool up) { m_isAvailable = up; }
     void setLosesAnswers(bool loses) { m_losesAnswers = loses; }
     /// Multiplies the watch delay of one watcher.
     void setSlowness(std::size_t watcher, double factor);
@@ -68,18 +68,18 @@
         std::uint64_t generation = 0;
     };
 
-    void tellTargets(std::size_t watcher);
-    void tellConfig(std::size_t watcher);
-    void tellAllTargets();
-    void deliver(std::size_t watcher, std::uint64_t generation, std::function<void(const Watcher&)> news);
-    Micros newsDelay(std::size_t watcher);
-    bool losesThisAnswer();
+    void notifyTargets(std::size_t watcher);
+    void notifyConfig(std::size_t watcher);
+    void notifyAllTargets();
+    void deliver(std::size_t watcher, std::uint64_t generation, std::function<void(const Watcher&)> notify);
+    Micros notificationDelay(std::size_t watcher);
+    bool isAnswerLost();
 
     ModelContext& m_context;
     std::vector<TargetRecord> m_targets;
     ConfigMessage m_config;
     std::vector<Watcher> m_watchers;
-    bool m_isUp = true;
+    bool m_isAvailable = true;
     bool m_losesAnswers = false;
 };
 
--- a/bench/libmodel/modelupstream.cpp
+++ b/bench/libmodel/modelupstream.cpp
@@ -8,7 +8,7 @@
 namespace {
 
     /// Minimum duration of a request in microseconds. Shed and refused requests take no time.
-    constexpr Micros shortestWork = 100;
+    constexpr Micros minWorkTime = 100;
 
 }
 
@@ -19,17 +19,17 @@
 {
 }
 
-UpstreamStart ModelUpstream::start(RequestId request, Micros work, OnDone onDone)
+StartResult ModelUpstream::start(RequestId request, Micros work, OnDone onDone)
 {
     if (!m_alive)
-        return UpstreamStart::Unreachable;
-    if (m_shedding || running() >= m_options.slots + m_options.acceptBeyondSlots)
-        return UpstreamStart::Shed;
+        return StartResult::Unreachable;
+    if (m_shedding || running() >= m_options.slots + m_options.maxBeyondSlots)
+        return StartResult::Shed;
     m_running.emplace(request, std::move(onDone));
-    const auto takes = static_cast<Micros>(static_cast<double>(work) * slowdown());
-    m_loop.after(std::max(takes, shortestWork), [this, request, life = m_life] { finish(request, life); });
-    fallOverIfTooMuch();
-    return UpstreamStart::Started;
+    const auto duration = static_cast<Micros>(static_cast<double>(work) * slowdown());
+    m_loop.after(std::max(duration, minWorkTime), [this, request, generation = m_generation] { finish(request, generation); });
+    crashIfOverloaded();
+    return StartResult::Started;
 }
 
 bool ModelUpstream::cancel(RequestId request)
@@ -37,24 +37,24 @@
     return m_running.erase(request) != 0;
 }
 
-void ModelUpstream::finish(RequestId request, std::uint64_t life)
+void ModelUpstream::finish(RequestId request, std::uint64_t generation)
 {
     const auto running = m_running.find(request);
-    if (life != m_life || running == m_running.end())
+    if (generation != m_generation || running == m_running.end())
         return;
     const OnDone onDone = std::move(running->second);
     m_running.erase(running);
     onDone(true);
 }
 
-void ModelUpstream::fallOverIfTooMuch()
+void ModelUpstream::crashIfOverloaded()
 {
-    if (m_options.fallOverFactor <= 0 || running() <= bearable() * m_options.fallOverFactor)
+    if (m_options.crashFactor <= 0 || running() <= bearable() * m_options.crashFactor)
         return;
-    ++m_falls;
+    ++m_overloadCrashes;
     // Clients are notified of the crash only after this call has returned.
     m_loop.after(0, [this] { kill(); });
-    m_loop.after(toMicros(m_options.restartAfter), [this] {
+    m_loop.after(toMicros(m_options.restartDelay), [this] {
         if (!m_alive)
             restart();
     });
@@ -63,7 +63,7 @@
 void ModelUpstream::kill()
 {
     m_alive = false;
-    ++m_life;
+    ++m_generation;
     const auto lost = std::exchange(m_running, {});
     for (const auto& [request, onDone] : lost)
         onDone(false);
@@ -84,15 +84,15 @@
 
 void ModelUpstream::startWarm()
 {
-    m_coldSince = m_loop.now() - toMicros(m_options.coldFor);
+    m_coldSince = m_loop.now() - toMicros(m_options.coldDuration);
 }
 
 double ModelUpstream::bearable() const
 {
-    const double warmth = m_options.coldFor > 0
-        ? static_cast<double>(m_loop.now() - m_coldSince) / static_cast<double>(toMicros(m_options.coldFor))
+    const double warmFraction = m_options.coldDuration > 0
+        ? static_cast<double>(m_loop.now() - m_coldSince) / static_cast<double>(toMicros(m_options.coldDuration))
         : 1;
-    return 1 + (m_options.slots - 1) * std::min(1.0, warmth);
+    return 1 + (m_options.slots - 1) * std::min(1.0, warmFraction);
 }
 
 double ModelUpstream::slowdown() const
--- a/bench/libmodel/modelupstream.h
+++ b/bench/libmodel/modelupstream.h
@@ -9,7 +9,7 @@
 namespace kingcuptrail {
 
 /// The result of starting a request at an upstream.
-enum class UpstreamStart : std::uint8_t {
+enum class StartResult : std::uint8_t {
     Started,
     Shed,
     Unreachable,
@@ -19,12 +19,12 @@
 struct ModelUpstreamOptions {
     std::uint32_t slots = 1;
     /// Time from a cold start until the upstream can serve all its slots, in milliseconds.
-    Millis coldFor = 4000;
+    Millis coldDuration = 4000;
     /// Number of requests beyond the slots that it still accepts; further ones are shed.
-    std::uint32_t acceptBeyondSlots = 8;
+    std::uint32_t maxBeyondSlots = 8;
     /// The upstream crashes, and restarts later, when it processes more than this factor times what it can serve; 0: never.
-    double fallOverFactor = 0;
-    Millis restartAfter = 2000;
+    double crashFactor = 0;
+    Millis restartDelay = 2000;
 };
 
 /// An upstream that can serve one request at a time when cold and all its slots when warm. Beyond that, requests are slowed
@@ -37,7 +37,7 @@
 
     ModelUpstream(EventLoop& loop, const ModelUpstreamOptions& options);
 
-    UpstreamStart start(RequestId request, Micros work, OnDone onDone);
+    StartResult start(RequestId request, Micros work, OnDone onDone);
 
     /// Cancels a request: its slot becomes free and its `onDone` isn't called. Returns false if the request isn't running.
     bool cancel(RequestId request);
@@ -55,21 +55,21 @@
 
     bool isAlive() const { return m_alive; }
     std::uint32_t running() const { return static_cast<std::uint32_t>(m_running.size()); }
-    std::uint32_t falls() const { return m_falls; }
+    std::uint32_t overloadCrashes() const { return m_overloadCrashes; }
     /// Number of requests that it can serve concurrently at the current time.
     double bearable() const;
 
 private:
-    void finish(RequestId request, std::uint64_t life);
-    void fallOverIfTooMuch();
+    void finish(RequestId request, std::uint64_t generation);
+    void crashIfOverloaded();
     double slowdown() const;
 
     EventLoop& m_loop;
     ModelUpstreamOptions m_options;
     std::map<RequestId, OnDone> m_running;
     Micros m_coldSince = 0;
-    std::uint64_t m_life = 0;
-    std::uint32_t m_falls = 0;
+    std::uint64_t m_generation = 0;
+    std::uint32_t m_overloadCrashes = 0;
     double m_slowness = 1;
     bool m_shedding = false;
     bool m_alive = true;
--- a/bench/libmodel/network.cpp
+++ b/bench/libmodel/network.cpp
@@ -32,7 +32,7 @@
 
 void Network::send(Endpoint from, Endpoint to, Message message)
 {
-    if (!isAlive(from) || isSwallowed(from, to))
+    if (!isAlive(from) || isDropped(from, to))
         return;
     const bool isPacket = std::holds_alternative<FlowPacket>(message);
     if (isPacket && m_random.chance(m_faults.loss))
@@ -47,18 +47,18 @@
     Micros wait = delay(from, to) + toMicros(m_random.uniform() * jitter);
     if (std::holds_alternative<FlowPacket>(message) && m_random.chance(m_faults.reorder))
         wait += toMicros(m_random.uniform() * reorderDelay);
-    m_loop.after(wait, [this, from, to, life = m_processes[to].life, message = std::move(message)]() mutable {
-        deliver(from, to, life, std::move(message));
+    m_loop.after(wait, [this, from, to, generation = m_processes[to].generation, message = std::move(message)]() mutable {
+        deliver(from, to, generation, std::move(message));
     });
 }
 
-void Network::deliver(Endpoint from, Endpoint to, std::uint64_t life, Message message)
+void Network::deliver(Endpoint from, Endpoint to, std::uint64_t generation, Message message)
 {
     Process& process = m_processes[to];
-    if (!process.alive || process.life != life || isSwallowed(from, to))
+    if (!process.alive || process.generation != generation || isDropped(from, to))
         return;
     if (process.frozen)
-        process.waiting.emplace_back(from, std::move(message));
+        process.pendingMessages.emplace_back(from, std::move(message));
     else
         process.receiver(from, std::move(message));
 }
@@ -67,9 +67,9 @@
 {
     Process& process = m_processes[endpoint];
     if (process.alive && !alive) {
-        ++process.life;
+        ++process.generation;
         process.frozen = false;
-        process.waiting.clear();
+        process.pendingMessages.clear();
     }
     process.alive = alive;
 }
@@ -84,9 +84,9 @@
 {
     Process& process = m_processes[endpoint];
     process.frozen = frozen && process.alive;
-    while (!process.frozen && !process.waiting.empty()) {
-        auto [from, message] = std::move(process.waiting.front());
-        process.waiting.pop_front();
+    while (!process.frozen && !process.pendingMessages.empty()) {
+        auto [from, message] = std::move(process.pendingMessages.front());
+        process.pendingMessages.pop_front();
         process.receiver(from, std::move(message));
     }
 }
@@ -110,7 +110,7 @@
     return m_silentLinks.contains({ balancer, agent });
 }
 
-bool Network::isSwallowed(Endpoint from, Endpoint to) const
+bool Network::isDropped(Endpoint from, Endpoint to) const
 {
     if (m_silentLinks.empty())
         return false;
--- a/bench/libmodel/network.h
+++ b/bench/libmodel/network.h
@@ -74,13 +74,13 @@
         Receiver receiver;
         bool alive = true;
         bool frozen = false;
-        std::uint64_t life = 0;
-        std::deque<std::pair<Endpoint, Message>> waiting;
+        std::uint64_t generation = 0;
+        std::deque<std::pair<Endpoint, Message>> pendingMessages;
     };
 
-    bool isSwallowed(Endpoint from, Endpoint to) const;
+    bool isDropped(Endpoint from, Endpoint to) const;
     void sendOnce(Endpoint from, Endpoint to, Message message);
-    void deliver(Endpoint from, Endpoint to, std::uint64_t life, Message message);
+    void deliver(Endpoint from, Endpoint to, std::uint64_t generation, Message message);
 
     const DeploymentSpec& m_deployment;
     EventLoop& m_loop;
--- a/bench/libmodel/policy.cpp
+++ b/bench/libmodel/policy.cpp
@@ -25,55 +25,55 @@
     return options;
 }
 
-PolicyOptions withoutGuard(GuardOff guard)
+PolicyOptions withoutGuard(DisabledGuard guard)
 {
     PolicyOptions options;
     switch (guard) {
-    case GuardOff::None:
+    case DisabledGuard::None:
         break;
-    case GuardOff::OwnerTokens:
+    case DisabledGuard::OwnerTokens:
         options.ownerTokens = false;
         break;
-    case GuardOff::ServiceCheck:
+    case DisabledGuard::ServiceCheck:
         options.forwarding.serviceGuard = false;
         break;
-    case GuardOff::ColdStart:
+    case DisabledGuard::ColdStart:
         options.admission.coldStartGuard = false;
         break;
-    case GuardOff::DataCentreOut:
+    case DisabledGuard::DataCentreOut:
         options.dataCentreGuard = false;
         break;
-    case GuardOff::AnswerCheck:
+    case DisabledGuard::AnswerCheck:
         options.answerGuard = false;
         break;
-    case GuardOff::TrueRefusal:
+    case DisabledGuard::TrueRefusal:
         options.refusalGuard = false;
         break;
-    case GuardOff::Ledger:
+    case DisabledGuard::Ledger:
         options.ledger.guard = false;
         break;
-    case GuardOff::Attempts:
+    case DisabledGuard::Attempts:
         options.attempts.guard = false;
         break;
-    case GuardOff::Draining:
+    case DisabledGuard::Draining:
         options.drainGuard = false;
         break;
-    case GuardOff::DrainWait:
+    case DisabledGuard::DrainWait:
         options.drainWaitGuard = false;
         break;
-    case GuardOff::ConfigOrder:
+    case DisabledGuard::ConfigOrder:
         options.configOrder.guard = false;
         break;
-    case GuardOff::ClosedFlows:
+    case DisabledGuard::ClosedFlows:
         options.closedFlows.guard = false;
         break;
-    case GuardOff::Pause:
+    case DisabledGuard::Pause:
         options.pause.guard = false;
         break;
-    case GuardOff::Return:
+    case DisabledGuard::Return:
         options.configOrder.returnGuard = false;
         break;
-    case GuardOff::CloseGrace:
+    case DisabledGuard::CloseGrace:
         options.drain.closeGrace = 0;
         break;
     }
--- a/bench/libmodel/policy.h
+++ b/bench/libmodel/policy.h
@@ -34,7 +34,7 @@
 };
 
 /// A guard that can be disabled in a run, to show that the history checker detects the violations that it prevents.
-enum class GuardOff : std::uint8_t {
+enum class DisabledGuard : std::uint8_t {
     None,
     OwnerTokens,
     ServiceCheck,
@@ -54,7 +54,7 @@
 };
 
 template <>
-struct EnumNames<GuardOff> {
+struct EnumNames<DisabledGuard> {
     static constexpr std::array<std::string_view, 16> names {
         "none",
         "ownerTokens",
@@ -105,6 +105,6 @@
 PolicyOptions policyOptions(PolicyName name);
 
 /// The full behaviour with one guard disabled.
-PolicyOptions withoutGuard(GuardOff guard);
+PolicyOptions withoutGuard(DisabledGuard guard);
 
 }
--- a/bench/libmodel/seededhistory.h
+++ b/bench/libmodel/seededhistory.h
@@ -6,7 +6,7 @@
 namespace kingcuptrail {
 
 /// Generates an experiment from a seed: a small deployment with many callers and overlapping failures.
-ExperimentSpec drawExperiment(std::uint64_t seed);
+ExperimentSpec generateExperiment(std::uint64_t seed);
 
 struct SeededHistory {
     CheckResult result;
@@ -14,6 +14,6 @@
 };
 
 /// Runs the experiment of a seed with `guard` disabled, and checks the recorded history against every promise.
-SeededHistory runSeededHistory(std::uint64_t seed, GuardOff guard = GuardOff::None);
+SeededHistory runSeededHistory(std::uint64_t seed, DisabledGuard guard = DisabledGuard::None);
 
 }
--- a/bench/libmodel/simulation.cpp
+++ b/bench/libmodel/simulation.cpp
@@ -10,17 +10,17 @@
     constexpr Micros busySampleInterval = 100 * microsPerMilli;
     constexpr Micros second = 1000 * microsPerMilli;
     /// The return of a target is complete when it holds its share of flows within this factor.
-    constexpr double returnFactor = 1.25;
+    constexpr double returnShareFactor = 1.25;
     constexpr double millisPerSecond = 1000;
 
 }
 
-Simulation::Simulation(const ExperimentSpec& experiment, const PolicyOptions& policy, bool keepHistory)
+Simulation::Simulation(const ExperimentSpec& experiment, const PolicyOptions& policy, bool recordHistory)
     : m_experiment(experiment)
     , m_policy(policy)
     , m_random(experiment.seed)
     , m_network(m_experiment.deployment, m_loop, m_random)
-    , m_history(m_loop, keepHistory)
+    , m_history(m_loop, recordHistory)
     , m_context { m_experiment, m_policy, m_loop, m_random, m_network, m_metrics, m_history }
     , m_store(m_context)
 {
@@ -33,10 +33,10 @@
     const std::size_t targets = targetCount(deployment);
     for (std::size_t target = 0; target < targets; ++target) {
         const ServiceSpec& service = deployment.services[serviceOf(target, deployment)];
-        m_upstreams.push_back(std::make_unique<ModelUpstream>(m_loop, ModelUpstreamOptions { .slots = service.slots, .coldFor = service.coldFor, .fallOverFactor = service.fallOverFactor }));
+        m_upstreams.push_back(std::make_unique<ModelUpstream>(m_loop, ModelUpstreamOptions { .slots = service.slots, .coldDuration = service.coldDuration, .crashFactor = service.crashFactor }));
         m_agents.push_back(std::make_unique<ModelAgent>(m_context, m_store, *m_upstreams.back(), target));
-        m_agents.back()->onLinkGivenUp = [this, target](std::size_t balancer) {
-            m_loop.after(resetArrives, [this, target, balancer] { m_balancers[balancer]->loseLink(target); });
+        m_agents.back()->onLinkClosed = [this, target](std::size_t balancer) {
+            m_loop.after(connectionResetDelay, [this, target, balancer] { m_balancers[balancer]->handleLinkLoss(target); });
         };
     }
     for (std::size_t balancer = 0; balancer < deployment.balancers; ++balancer)
@@ -47,15 +47,15 @@
 }
 
 /// Sets up the initial state: all targets announced and warm, all balancers started.
-void Simulation::settle()
+void Simulation::setUpSteadyState()
 {
     std::vector<TargetRecord> records;
     for (std::size_t target = 0; target < m_agents.size(); ++target) {
         const OwnerToken token { .upstream = targetId(target), .incarnation = 1 };
         records.push_back({ .token = token, .announced = true });
         m_upstreams[target]->startWarm();
-        noteUpstreamStart(target);
-        m_agents[target]->startSettled(token);
+        recordUpstreamStart(target);
+        m_agents[target]->startSteady(token);
     }
     m_store.seed(std::move(records));
     for (const auto& balancer : m_balancers)
@@ -64,7 +64,7 @@
 
 void Simulation::run()
 {
-    settle();
+    setUpSteadyState();
     m_callers->start();
     for (const FailureSpec& failure : m_experiment.failures)
         schedule(failure);
@@ -75,11 +75,11 @@
     });
     const Micros measured = toMicros(m_experiment.warmUp + m_experiment.duration);
     m_loop.runUntil(measured);
-    m_callers->stopOffering();
+    m_callers->stopRequests();
     // Runs on until the deadlines of the last requests have passed.
     m_loop.runUntil(measured + 5 * second);
     for (const auto& upstream : m_upstreams)
-        m_metrics.falls += upstream->falls();
+        m_metrics.overloadCrashes += upstream->overloadCrashes();
     for (std::size_t service = 0, first = 0; service < m_experiment.deployment.services.size(); ++service) {
         std::vector<double> means;
         for (const std::size_t end = first + m_experiment.deployment.services[service].targets; first < end; ++first) {
@@ -92,7 +92,7 @@
     }
 }
 
-void Simulation::noteProcess(HistoryKind kind, Endpoint endpoint)
+void Simulation::recordProcess(HistoryKind kind, Endpoint endpoint)
 {
     m_history.record([&] {
         if (endpoint.kind == EndpointKind::Balancer)
@@ -106,7 +106,7 @@
     });
 }
 
-void Simulation::noteFault(HistoryKind kind, std::size_t target)
+void Simulation::recordFault(HistoryKind kind, std::size_t target)
 {
     m_history.record([&] {
         const std::string name = targetName(target, m_experiment.deployment);
@@ -114,12 +114,12 @@
     });
 }
 
-void Simulation::notePlatform(HistoryKind kind)
+void Simulation::recordPlatform(HistoryKind kind)
 {
     m_history.record([&] { return HistoryEvent { .kind = kind, .process = "platform", .role = ProcessRole::Platform }; });
 }
 
-void Simulation::noteUpstreamStart(std::size_t target)
+void Simulation::recordUpstreamStart(std::size_t target)
 {
     m_history.record([&] {
         const DeploymentSpec& deployment = m_experiment.deployment;
@@ -157,12 +157,12 @@
 
 bool Simulation::isInService(std::size_t target) const
 {
-    const bool isOut = m_store.config().dataCentreOut[dataCentreOf(target, m_experiment.deployment)];
+    const bool isDataCentreOut = m_store.config().dataCentreOut[dataCentreOf(target, m_experiment.deployment)];
     const Endpoint agent { EndpointKind::Agent, target };
-    return !isOut && m_network.isAlive(agent) && !m_network.isFrozen(agent) && m_upstreams[target]->isAlive();
+    return !isDataCentreOut && m_network.isAlive(agent) && !m_network.isFrozen(agent) && m_upstreams[target]->isAlive();
 }
 
-double Simulation::capacityNow() const
+double Simulation::currentCapacity() const
 {
     double capacity = 0;
     for (std::size_t target = 0; target < m_agents.size(); ++target) {
@@ -178,8 +178,8 @@
     const Millis at = sinceStart(m_context);
     if (at >= m_experiment.duration)
         return;
-    SecondOfService& row = m_metrics.second(at);
-    row.capacity = capacityNow();
+    SecondMetrics& row = m_metrics.second(at);
+    row.capacity = currentCapacity();
     std::size_t first = 0;
     for (std::size_t service = 0; service < m_experiment.deployment.services.size(); ++service) {
         std::vector<double> flows;
@@ -194,22 +194,22 @@
         row.flowImbalance = std::max(row.flowImbalance, spread.maxOverMean);
         m_metrics.flowImbalance.add(spread.maxOverMean);
         m_metrics.flowVariation.add(spread.variation);
-        watchReturns(service, flows, targets);
+        updateReturns(service, flows, targets);
     }
     m_loop.after(second, [this] { sampleSecond(); });
 }
 
-void Simulation::watchReturns(std::size_t service, const std::vector<double>& flows, const std::vector<std::size_t>& targets)
+void Simulation::updateReturns(std::size_t service, const std::vector<double>& flows, const std::vector<std::size_t>& targets)
 {
     double sum = 0;
     for (const double count : flows)
         sum += count;
     const double share = flows.empty() ? 0 : sum / static_cast<double>(flows.size());
-    std::erase_if(m_returns, [&](const ReturnWatch& watch) {
+    std::erase_if(m_returns, [&](const PendingReturn& watch) {
         if (serviceOf(watch.target, m_experiment.deployment) != service)
             return false;
         const auto position = std::ranges::find(targets, watch.target);
-        if (position == targets.end() || flows[static_cast<std::size_t>(position - targets.begin())] * returnFactor < share)
+        if (position == targets.end() || flows[static_cast<std::size_t>(position - targets.begin())] * returnShareFactor < share)
             return false;
         m_metrics.returnTime.add(static_cast<double>(m_loop.nowMillis() - watch.since));
         return true;
--- a/bench/libmodel/simulation.h
+++ b/bench/libmodel/simulation.h
@@ -17,8 +17,8 @@
 /// measured quantities over time.
 class Simulation {
 public:
-    /// If `keepHistory`, every event is recorded for the checker.
-    Simulation(const ExperimentSpec& experiment, const PolicyOptions& policy, bool keepHistory = false);
+    /// If `recordHistory`, every event is recorded for the checker.
+    Simulation(const ExperimentSpec& experiment, const PolicyOptions& policy, bool recordHistory = false);
 
     void run();
 
@@ -28,16 +28,16 @@
 
 private:
     /// Time from the end of a process until its peers' connections are reset.
-    static constexpr Micros resetArrives = 2 * microsPerMilli;
+    static constexpr Micros connectionResetDelay = 2 * microsPerMilli;
 
     /// A target that returned to service and doesn't hold its share of flows yet.
-    struct ReturnWatch {
+    struct PendingReturn {
         std::size_t target = 0;
         Millis since = 0;
     };
 
     void build();
-    void settle();
+    void setUpSteadyState();
     void schedule(const FailureSpec& failure);
     void begin(const FailureSpec& failure);
     void end(const FailureSpec& failure);
@@ -54,20 +54,20 @@
     void startAgent(std::size_t agent);
     void restartHost(std::size_t agent);
     void drain(std::size_t agent, bool mayExit);
-    void applyOperator(std::size_t dataCentre, bool out);
-    void applyNow(ConfigVersion basedOn, std::size_t dataCentre, bool out);
+    void applyDataCentreState(std::size_t dataCentre, bool out);
+    void applyChange(ConfigVersion baseVersion, std::size_t dataCentre, bool out);
 
     BreakCause causeOf(const OwnerToken& owner, RefusalReason reason) const;
     std::optional<std::size_t> targetOf(const OwnerToken& owner) const;
     bool isInService(std::size_t target) const;
-    double capacityNow() const;
-    void noteProcess(HistoryKind kind, Endpoint endpoint);
-    void noteFault(HistoryKind kind, std::size_t target);
-    void notePlatform(HistoryKind kind);
-    void noteUpstreamStart(std::size_t target);
+    double currentCapacity() const;
+    void recordProcess(HistoryKind kind, Endpoint endpoint);
+    void recordFault(HistoryKind kind, std::size_t target);
+    void recordPlatform(HistoryKind kind);
+    void recordUpstreamStart(std::size_t target);
     void sampleSecond();
     void sampleBusy();
-    void watchReturns(std::size_t service, const std::vector<double>& flows, const std::vector<std::size_t>& targets);
+    void updateReturns(std::size_t service, const std::vector<double>& flows, const std::vector<std::size_t>& targets);
 
     ExperimentSpec m_experiment;
     PolicyOptions m_policy;
@@ -85,7 +85,7 @@
     /// For each target, the sum of its busy slots over the samples in which it was in service, and the number of these samples.
     std::vector<double> m_busySum;
     std::vector<std::uint64_t> m_busySamples;
-    std::vector<ReturnWatch> m_returns;
+    std::vector<PendingReturn> m_returns;
 };
 
 }
--- a/bench/libmodel/simulationfailures.cpp
+++ b/bench/libmodel/simulationfailures.cpp
@@ -5,10 +5,10 @@
 namespace {
 
     /// Time for which the fabric continues to send packets to a balancer that terminated, and to one that is frozen.
-    constexpr Micros fabricSeesDeath = 20 * microsPerMilli;
-    constexpr Micros fabricSeesSilence = 1000 * microsPerMilli;
-    constexpr Micros operatorRetry = 500 * microsPerMilli;
-    constexpr Micros hostRestart = 500 * microsPerMilli;
+    constexpr Micros killDetectionDelay = 20 * microsPerMilli;
+    constexpr Micros silenceDetectionDelay = 1000 * microsPerMilli;
+    constexpr Micros operatorRetryDelay = 500 * microsPerMilli;
+    constexpr Micros hostRestartTime = 500 * microsPerMilli;
 
 }
 
@@ -76,11 +76,11 @@
     ModelUpstream& upstream = *m_upstreams[failure.target];
     switch (failure.kind) {
     case FailureKind::UpstreamKill:
-        noteFault(HistoryKind::FaultBegan, failure.target);
+        recordFault(HistoryKind::FaultBegan, failure.target);
         return upstream.kill();
     case FailureKind::UpstreamCold:
-        noteFault(HistoryKind::FaultBegan, failure.target);
-        noteFault(HistoryKind::FaultEnded, failure.target);
+        recordFault(HistoryKind::FaultBegan, failure.target);
+        recordFault(HistoryKind::FaultEnded, failure.target);
         return upstream.turnCold();
     case FailureKind::UpstreamSlow:
         return upstream.setSlowness(failure.value);
@@ -105,19 +105,19 @@
     case FailureKind::OperatorRace: {
         // Two operators read the same version and take different data centres out of service; the second write conflicts.
         const ConfigVersion seen = m_store.config().version;
-        applyNow(seen, failure.target, true);
-        return applyNow(seen, (failure.target + 1) % m_experiment.deployment.dataCentres.size(), true);
+        applyChange(seen, failure.target, true);
+        return applyChange(seen, (failure.target + 1) % m_experiment.deployment.dataCentres.size(), true);
     }
     default:
-        return applyOperator(failure.target, failure.kind == FailureKind::DataCentreOut);
+        return applyDataCentreState(failure.target, failure.kind == FailureKind::DataCentreOut);
     }
 }
 
 void Simulation::beginStoreFailure(const FailureSpec& failure)
 {
     if (failure.kind == FailureKind::StoreDown) {
-        notePlatform(HistoryKind::FaultBegan);
-        m_store.setUp(false);
+        recordPlatform(HistoryKind::FaultBegan);
+        m_store.setAvailable(false);
     } else if (failure.kind == FailureKind::StoreSlow)
         m_store.setSlowness(failure.target, failure.value);
     else
@@ -159,7 +159,7 @@
     case FailureKind::LinkSilent:
         return m_network.setSilent(failure.target, failure.peer, false);
     case FailureKind::UpstreamKill:
-        noteFault(HistoryKind::FaultEnded, failure.target);
+        recordFault(HistoryKind::FaultEnded, failure.target);
         if (!m_upstreams[failure.target]->isAlive())
             m_upstreams[failure.target]->restart();
         return;
@@ -168,13 +168,13 @@
     case FailureKind::UpstreamShed:
         return m_upstreams[failure.target]->setShedding(false);
     case FailureKind::DataCentreOut:
-        return applyOperator(failure.target, false);
+        return applyDataCentreState(failure.target, false);
     case FailureKind::OperatorRace:
-        applyOperator(failure.target, false);
-        return applyOperator((failure.target + 1) % m_experiment.deployment.dataCentres.size(), false);
+        applyDataCentreState(failure.target, false);
+        return applyDataCentreState((failure.target + 1) % m_experiment.deployment.dataCentres.size(), false);
     case FailureKind::StoreDown:
-        notePlatform(HistoryKind::FaultEnded);
-        return m_store.setUp(true);
+        recordPlatform(HistoryKind::FaultEnded);
+        return m_store.setAvailable(true);
     case FailureKind::StoreSlow:
         return m_store.setSlowness(failure.target, 1);
     case FailureKind::StoreLosesAnswers:
@@ -193,10 +193,10 @@
     if (!m_network.isAlive({ EndpointKind::Balancer, balancer }))
         return;
     m_balancers[balancer]->kill();
-    m_loop.after(fabricSeesDeath, [this, balancer] { m_callers->setReachable(balancer, m_network.isAlive({ EndpointKind::Balancer, balancer })); });
-    m_loop.after(resetArrives, [this, balancer] {
+    m_loop.after(killDetectionDelay, [this, balancer] { m_callers->setReachable(balancer, m_network.isAlive({ EndpointKind::Balancer, balancer })); });
+    m_loop.after(connectionResetDelay, [this, balancer] {
         for (const auto& agent : m_agents)
-            agent->loseLink(balancer);
+            agent->handleLinkLoss(balancer);
     });
 }
 
@@ -205,7 +205,7 @@
     if (m_network.isAlive({ EndpointKind::Balancer, balancer }))
         return;
     m_balancers[balancer]->start();
-    m_loop.after(fabricSeesSilence, [this, balancer] { m_callers->setReachable(balancer, m_network.isAlive({ EndpointKind::Balancer, balancer })); });
+    m_loop.after(silenceDetectionDelay, [this, balancer] { m_callers->setReachable(balancer, m_network.isAlive({ EndpointKind::Balancer, balancer })); });
 }
 
 void Simulation::freeze(Endpoint endpoint, bool frozen)
@@ -213,10 +213,10 @@
     if (!m_network.isAlive(endpoint))
         return;
     m_network.setFrozen(endpoint, frozen);
-    noteProcess(frozen ? HistoryKind::ProcessFrozen : HistoryKind::ProcessContinued, endpoint);
+    recordProcess(frozen ? HistoryKind::ProcessFrozen : HistoryKind::ProcessContinued, endpoint);
     if (endpoint.kind == EndpointKind::Balancer) {
         const std::size_t balancer = endpoint.index;
-        m_loop.after(fabricSeesSilence, [this, balancer, frozen, endpoint] { m_callers->setReachable(balancer, !frozen && m_network.isAlive(endpoint)); });
+        m_loop.after(silenceDetectionDelay, [this, balancer, frozen, endpoint] { m_callers->setReachable(balancer, !frozen && m_network.isAlive(endpoint)); });
     }
 }
 
@@ -224,11 +224,11 @@
 {
     if (!m_network.isAlive({ EndpointKind::Agent, agent }))
         return;
-    noteProcess(HistoryKind::ProcessKilled, { EndpointKind::Agent, agent });
+    recordProcess(HistoryKind::ProcessKilled, { EndpointKind::Agent, agent });
     m_agents[agent]->kill();
-    m_loop.after(resetArrives, [this, agent] {
+    m_loop.after(connectionResetDelay, [this, agent] {
         for (const auto& balancer : m_balancers)
-            balancer->loseLink(agent);
+            balancer->handleLinkLoss(agent);
     });
 }
 
@@ -242,12 +242,12 @@
 
 void Simulation::restartHost(std::size_t agent)
 {
-    m_loop.after(resetArrives, [this, agent] {
+    m_loop.after(connectionResetDelay, [this, agent] {
         for (const auto& balancer : m_balancers)
-            balancer->loseLink(agent);
+            balancer->handleLinkLoss(agent);
     });
     m_upstreams[agent]->kill();
-    m_loop.after(hostRestart, [this, agent] {
+    m_loop.after(hostRestartTime, [this, agent] {
         m_upstreams[agent]->restart();
         startAgent(agent);
     });
@@ -257,24 +257,24 @@
 {
     if (!m_network.isAlive({ EndpointKind::Agent, agent }))
         return;
-    noteProcess(HistoryKind::DrainBegan, { EndpointKind::Agent, agent });
+    recordProcess(HistoryKind::DrainBegan, { EndpointKind::Agent, agent });
     if (mayExit)
-        noteProcess(HistoryKind::ShutdownBegan, { EndpointKind::Agent, agent });
+        recordProcess(HistoryKind::ShutdownBegan, { EndpointKind::Agent, agent });
     m_agents[agent]->onExit = [this, agent] { restartHost(agent); };
     m_agents[agent]->drain(mayExit);
 }
 
-void Simulation::applyOperator(std::size_t dataCentre, bool out)
+void Simulation::applyDataCentreState(std::size_t dataCentre, bool out)
 {
     if (m_store.config().dataCentreOut[dataCentre] != out)
-        applyNow(m_store.config().version, dataCentre, out);
+        applyChange(m_store.config().version, dataCentre, out);
 }
 
 /// Applies a change as the operators' tool does: after a lost answer or a conflict it reads the current configuration and
 /// tries again on that basis.
-void Simulation::applyNow(ConfigVersion basedOn, std::size_t dataCentre, bool out)
+void Simulation::applyChange(ConfigVersion baseVersion, std::size_t dataCentre, bool out)
 {
-    m_store.apply(basedOn, dataCentre, out, [this, dataCentre, out](ApplyResult result) {
+    m_store.apply(baseVersion, dataCentre, out, [this, dataCentre, out](ApplyResult result) {
         if (result == ApplyResult::Accepted && !out) {
             for (std::size_t target = 0; target < m_agents.size(); ++target) {
                 if (dataCentreOf(target, m_experiment.deployment) == dataCentre)
@@ -282,13 +282,13 @@
             }
         }
         if (result != ApplyResult::Accepted)
-            m_loop.after(operatorRetry, [this, dataCentre, out] { applyOperator(dataCentre, out); });
+            m_loop.after(operatorRetryDelay, [this, dataCentre, out] { applyDataCentreState(dataCentre, out); });
     });
     // Hosts of a data centre that is out of service are replaced or rebooted meanwhile, so their upstreams return cold.
     if (!out) {
         for (std::size_t target = 0; target < m_agents.size(); ++target) {
             const bool isHere = dataCentreOf(target, m_experiment.deployment) == dataCentre;
-            if (!isHere || !m_upstreams[target]->isAlive() || !m_agents[target]->isOut())
+            if (!isHere || !m_upstreams[target]->isAlive() || !m_agents[target]->isDataCentreOut())
                 continue;
             m_upstreams[target]->restart();
         }
--- a/tests/bench/testadmissionmodel.cpp
+++ b/tests/bench/testadmissionmodel.cpp
@@ -26,9 +26,9 @@
         return sumOf(outcomes);
     }
 
-    static AdmissionOutcome runOutage(AdmissionOrder order, LoadNews news)
+    static AdmissionOutcome runOutage(AdmissionOrder order, LoadReportScope loadReport)
     {
-        return runSeeds({ .coldFactor = 1.6, .coldFor = 2000, .outage = 1400, .duration = 2500, .order = order, .news = news });
+        return runSeeds({ .coldFactor = 1.6, .coldDuration = 2000, .outage = 1400, .duration = 2500, .order = order, .loadReport = loadReport });
     }
 
     // Guards against a collapse of goodput: once the load exceeds the capacity, a first-come queue makes all answers late.
@@ -38,27 +38,27 @@
         const AdmissionOutcome atCapacity = runSeeds({ .load = 1.0, .duration = duration });
         for (const double load : { 1.5, 2.0, 3.0 })
             CPPUNIT_ASSERT(runSeeds({ .load = load, .duration = duration }).inTime > atCapacity.inTime * 9 / 10);
-        const AdmissionOutcome inOrder = runSeeds({ .load = 3.0, .duration = duration, .order = AdmissionOrder::Arrival });
-        CPPUNIT_ASSERT(inOrder.inTime < atCapacity.inTime / 10);
+        const AdmissionOutcome arrivalOrder = runSeeds({ .load = 3.0, .duration = duration, .order = AdmissionOrder::Arrival });
+        CPPUNIT_ASSERT(arrivalOrder.inTime < atCapacity.inTime / 10);
     }
 
     // Guards against new requests that become late because they queue behind requests that are late already.
     void backlogOfAnOutageDoesNotMakeNewRequestsLate()
     {
-        const AdmissionOutcome inOrder = runOutage(AdmissionOrder::Arrival, LoadNews::TimelyWaiting);
-        const AdmissionOutcome lateAside = runOutage(AdmissionOrder::LateInIdleSlots, LoadNews::TimelyWaiting);
-        CPPUNIT_ASSERT_EQUAL(inOrder.asked, lateAside.asked);
-        CPPUNIT_ASSERT(lateAside.inTime > 2 * inOrder.inTime);
-        CPPUNIT_ASSERT(lateAside.inTime > lateAside.asked * 3 / 4);
+        const AdmissionOutcome arrivalOrder = runOutage(AdmissionOrder::Arrival, LoadReportScope::TimelyWaiting);
+        const AdmissionOutcome lateInIdleSlots = runOutage(AdmissionOrder::LateInIdleSlots, LoadReportScope::TimelyWaiting);
+        CPPUNIT_ASSERT_EQUAL(arrivalOrder.asked, lateInIdleSlots.asked);
+        CPPUNIT_ASSERT(lateInIdleSlots.inTime > 2 * arrivalOrder.inTime);
+        CPPUNIT_ASSERT(lateInIdleSlots.inTime > lateInIdleSlots.asked * 3 / 4);
     }
 
     // Guards against reports of load that include late openings: new requests then all go to the agents with the shortest
     // backlog, although other agents could serve them in time as well.
     void backlogDoesNotKeepNewRequestsFromIdleAgents()
     {
-        const AdmissionOutcome allTold = runOutage(AdmissionOrder::LateInIdleSlots, LoadNews::AllWaiting);
-        const AdmissionOutcome timelyTold = runOutage(AdmissionOrder::LateInIdleSlots, LoadNews::TimelyWaiting);
-        CPPUNIT_ASSERT(timelyTold.inTime > allTold.inTime);
+        const AdmissionOutcome allReported = runOutage(AdmissionOrder::LateInIdleSlots, LoadReportScope::AllWaiting);
+        const AdmissionOutcome timelyReported = runOutage(AdmissionOrder::LateInIdleSlots, LoadReportScope::TimelyWaiting);
+        CPPUNIT_ASSERT(timelyReported.inTime > allReported.inTime);
     }
 
     void sameSeedGivesTheSameRun()
--- a/tests/bench/testmodel.cpp
+++ b/tests/bench/testmodel.cpp
@@ -51,14 +51,14 @@
 
 class TestModel : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(TestModel);
-    CPPUNIT_TEST(eventsOfOneTimeRunInTheirOrder);
-    CPPUNIT_TEST(coldUpstreamSlowsDownAboveWhatItBears);
+    CPPUNIT_TEST(simultaneousEventsRunInScheduledOrder);
+    CPPUNIT_TEST(coldUpstreamSlowsDownUnderOverload);
     CPPUNIT_TEST(imbalanceIsMaxOverMean);
     CPPUNIT_TEST(plannedChangeBreaksFlowsOnlyWithoutTokens);
-    CPPUNIT_TEST(messageSizesAreThoseOfFrames);
+    CPPUNIT_TEST(messageSizesMatchFrames);
     CPPUNIT_TEST_SUITE_END();
 
-    void eventsOfOneTimeRunInTheirOrder()
+    void simultaneousEventsRunInScheduledOrder()
     {
         EventLoop loop;
         std::string order;
@@ -74,14 +74,14 @@
         CPPUNIT_ASSERT_EQUAL(std::string("abcd"), order);
     }
 
-    void coldUpstreamSlowsDownAboveWhatItBears()
+    void coldUpstreamSlowsDownUnderOverload()
     {
         EventLoop loop;
-        ModelUpstream upstream(loop, { .slots = 4, .coldFor = 4000 });
+        ModelUpstream upstream(loop, { .slots = 4, .coldDuration = 4000 });
         std::vector<Micros> ended;
-        const auto note = [&](bool) { ended.push_back(loop.now()); };
-        CPPUNIT_ASSERT(upstream.start(1, 1000, note) == UpstreamStart::Started);
-        CPPUNIT_ASSERT(upstream.start(2, 1000, note) == UpstreamStart::Started);
+        const auto recordEnd = [&](bool) { ended.push_back(loop.now()); };
+        CPPUNIT_ASSERT(upstream.start(1, 1000, recordEnd) == StartResult::Started);
+        CPPUNIT_ASSERT(upstream.start(2, 1000, recordEnd) == StartResult::Started);
         loop.runUntil(toMicros(4000));
         CPPUNIT_ASSERT_EQUAL(Micros { 1000 }, ended[0]);
         CPPUNIT_ASSERT_EQUAL(Micros { 2000 }, ended[1]);
@@ -100,11 +100,11 @@
         const Metrics full = runSmall(PolicyName::Full);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t { 0 }, brokenFlows(full));
         CPPUNIT_ASSERT(full.ended[static_cast<std::size_t>(RequestEnd::Answered)] > 100);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t { 0 }, full.doubled);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t { 0 }, full.duplicateRuns);
         CPPUNIT_ASSERT(brokenFlows(runSmall(PolicyName::Modulo)) > 50);
     }
 
-    void messageSizesAreThoseOfFrames()
+    void messageSizesMatchFrames()
     {
         wire::PacketT packet;
         packet.kind = wire::PacketKind::Segment;
--- a/tests/histories/testhistories.cpp
+++ b/tests/histories/testhistories.cpp
@@ -24,7 +24,7 @@
 };
 
 struct GuardCase {
-    GuardOff guard;
+    DisabledGuard guard;
     /// The violation that the checker must report, in one of a few seeds, when the guard is off.
     Promise promise;
     std::uint64_t firstSeed;
@@ -33,19 +33,19 @@
 constexpr std::uint64_t seedsUntilFound = 60;
 
 constexpr std::array<GuardCase, 13> guardCases { {
-    { GuardOff::OwnerTokens, Promise::FlowSurvives, 1 },
-    { GuardOff::ServiceCheck, Promise::NoMisrouting, 1 },
-    { GuardOff::ColdStart, Promise::ColdSpared, 1 },
-    { GuardOff::DataCentreOut, Promise::OutSilent, 10 },
-    { GuardOff::AnswerCheck, Promise::WholeAnswers, 1 },
-    { GuardOff::TrueRefusal, Promise::TrueRefusals, 36 },
-    { GuardOff::Ledger, Promise::AtMostOnce, 1 },
-    { GuardOff::Attempts, Promise::AtMostOnce, 2 },
-    { GuardOff::Draining, Promise::LeaverNoNewWork, 2 },
-    { GuardOff::DrainWait, Promise::ShutdownCutsNothing, 5 },
-    { GuardOff::ConfigOrder, Promise::ConfigNeverReverts, 5 },
-    { GuardOff::Pause, Promise::OutSilent, 395 },
-    { GuardOff::Return, Promise::FlowSurvives, 257 },
+    { DisabledGuard::OwnerTokens, Promise::FlowSurvives, 1 },
+    { DisabledGuard::ServiceCheck, Promise::NoMisrouting, 1 },
+    { DisabledGuard::ColdStart, Promise::ColdSpared, 1 },
+    { DisabledGuard::DataCentreOut, Promise::OutSilent, 10 },
+    { DisabledGuard::AnswerCheck, Promise::WholeAnswers, 1 },
+    { DisabledGuard::TrueRefusal, Promise::TrueRefusals, 36 },
+    { DisabledGuard::Ledger, Promise::AtMostOnce, 1 },
+    { DisabledGuard::Attempts, Promise::AtMostOnce, 2 },
+    { DisabledGuard::Draining, Promise::LeaverNoNewWork, 2 },
+    { DisabledGuard::DrainWait, Promise::ShutdownCutsNothing, 5 },
+    { DisabledGuard::ConfigOrder, Promise::ConfigNeverReverts, 5 },
+    { DisabledGuard::Pause, Promise::OutSilent, 395 },
+    { DisabledGuard::Return, Promise::FlowSurvives, 257 },
 } };
 
 bool hasViolation(const SeededHistory& history, Promise promise)
