--- a/tests/scenarios/runner/main.cpp
+++ b/tests/scenarios/runner/main.cpp
@@ -39,7 +39,7 @@
 }
 
 /// Message handler that adds a stack traceback to the error.
-int explain(lua_State* lua)
+int addTraceback(lua_State* lua)
 {
     luaL_traceback(lua, lua, lua_tostring(lua, 1), 1);
     return 1;
@@ -55,7 +55,7 @@
     lua_setglobal(lua, "perform");
     lua_pushinteger(lua, absl::GetFlag(FLAGS_seed));
     lua_setglobal(lua, "seed");
-    lua_pushcfunction(lua, explain);
+    lua_pushcfunction(lua, addTraceback);
     const bool passed = luaL_loadfile(lua, SCENARIO_FOLDER "/verbs.lua") == LUA_OK && lua_pcall(lua, 0, 0, 1) == LUA_OK
         && luaL_loadfile(lua, script.c_str()) == LUA_OK && lua_pcall(lua, 0, 0, 1) == LUA_OK;
     if (!passed)
--- a/tests/scenarios/runner/relay.cpp
+++ b/tests/scenarios/runner/relay.cpp
@@ -12,7 +12,7 @@
 
     using asio::ip::tcp;
 
-    constexpr auto holdInterval = std::chrono::milliseconds(20);
+    constexpr auto holdPollInterval = std::chrono::milliseconds(20);
     constexpr std::size_t bufferBytes = std::size_t { 64 } * 1024;
 
     struct Connection : std::enable_shared_from_this<Connection> {
@@ -38,28 +38,28 @@
         {
         }
 
-        void pass(End& from, End& to)
+        void readAndForward(End& from, End& to)
         {
             if (*isHeld) {
-                wait(from, to);
+                retryWhileHeld(from, to);
                 return;
             }
             from.socket.async_read_some(asio::buffer(from.buffer), [self = shared_from_this(), &from, &to](asio::error_code error, std::size_t size) {
                 if (error)
                     self->end();
                 else if (self->isSilent)
-                    self->pass(from, to);
+                    self->readAndForward(from, to);
                 else
                     self->forward(from, to, size);
             });
         }
 
-        void wait(End& from, End& to)
+        void retryWhileHeld(End& from, End& to)
         {
-            const auto timer = std::make_shared<asio::steady_timer>(from.socket.get_executor(), holdInterval);
+            const auto timer = std::make_shared<asio::steady_timer>(from.socket.get_executor(), holdPollInterval);
             timer->async_wait([self = shared_from_this(), timer, &from, &to](asio::error_code) {
                 if (!self->isEnded)
-                    self->pass(from, to);
+                    self->readAndForward(from, to);
             });
         }
 
@@ -69,7 +69,7 @@
                 if (error)
                     self->end();
                 else
-                    self->pass(from, to);
+                    self->readAndForward(from, to);
             });
         }
 
@@ -121,7 +121,7 @@
 
     void connect(const std::shared_ptr<Connection>& connection)
     {
-        std::erase_if(connections, [](const auto& known) { return known->isEnded && !known->isSilent; });
+        std::erase_if(connections, [](const auto& connectionEntry) { return connectionEntry->isEnded && !connectionEntry->isSilent; });
         connections.insert(connection);
         connection->far.socket.async_connect(target, [connection](asio::error_code error) {
             if (error) {
@@ -131,8 +131,8 @@
             asio::error_code ignored;
             connection->near.socket.set_option(tcp::no_delay(true), ignored);
             connection->far.socket.set_option(tcp::no_delay(true), ignored);
-            connection->pass(connection->near, connection->far);
-            connection->pass(connection->far, connection->near);
+            connection->readAndForward(connection->near, connection->far);
+            connection->readAndForward(connection->far, connection->near);
         });
     }
 
--- a/tests/scenarios/runner/heldport.cpp
+++ b/tests/scenarios/runner/reservedport.cpp
@@ -1,4 +1,4 @@
-#include "heldport.h"
+#include "reservedport.h"
 
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -7,7 +7,7 @@
 
 namespace kingcuptrail {
 
-HeldPort::HeldPort()
+ReservedPort::ReservedPort()
     : m_socket(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0))
 {
     const int on = 1;
@@ -20,7 +20,7 @@
         m_number = ntohs(address.sin_port);
 }
 
-HeldPort::~HeldPort()
+ReservedPort::~ReservedPort()
 {
     close(m_socket);
 }
--- a/tests/scenarios/runner/scenario.cpp
+++ b/tests/scenarios/runner/scenario.cpp
@@ -1,13 +1,13 @@
 #include "scenario.h"
 
 #include "childprocess.h"
-#include "heldport.h"
 #include "libhistory/checker.h"
 #include "libhttp/httpclient.h"
 #include "libplatform/config.h"
 #include "libplatform/configapply.h"
 #include "libruntime/clock.h"
 #include "relay.h"
+#include "reservedport.h"
 
 #include <csignal>
 #include <filesystem>
@@ -19,12 +19,12 @@
 
     using nlohmann::json;
 
-    constexpr std::string_view configEvent = " E300 configInForce ";
+    constexpr std::string_view configEventMarker = " E300 configInForce ";
 
     struct Process {
         std::unique_ptr<ChildProcess> child;
         /// Name, role, upstream and data centre for the history events of this process.
-        HistoryEvent about;
+        HistoryEvent eventTemplate;
         std::vector<std::string> lines;
     };
 
@@ -50,13 +50,13 @@
         return { { "error", text } };
     }
 
-    asio::ip::tcp::endpoint local(const json& port)
+    asio::ip::tcp::endpoint loopbackEndpoint(const json& port)
     {
         return { asio::ip::address_v4::loopback(), port.get<std::uint16_t>() };
     }
 
     /// The number after "version=" in a log line.
-    ConfigVersion versionIn(const std::string& line)
+    ConfigVersion parseVersion(const std::string& line)
     {
         const auto place = line.find("version=");
         return place == std::string::npos ? 0 : std::stoull(line.substr(place + std::string_view("version=").size()));
@@ -82,7 +82,7 @@
 
     json port(const json&)
     {
-        ports.push_back(std::make_unique<HeldPort>());
+        ports.push_back(std::make_unique<ReservedPort>());
         return ports.back()->number();
     }
 
@@ -97,20 +97,20 @@
     {
         const std::string name = arguments.at("name");
         Process& process = processes[name];
-        process.about = { .kind = HistoryKind::ProcessStarted, .process = name };
-        process.about.role = fromName<ProcessRole>(arguments.value("role", "other")).value_or(ProcessRole::Other);
-        process.about.upstream = arguments.value("upstream", "");
-        process.about.dataCentre = arguments.value("dataCentre", "");
+        process.eventTemplate = { .kind = HistoryKind::ProcessStarted, .process = name };
+        process.eventTemplate.role = fromName<ProcessRole>(arguments.value("role", "other")).value_or(ProcessRole::Other);
+        process.eventTemplate.upstream = arguments.value("upstream", "");
+        process.eventTemplate.dataCentre = arguments.value("dataCentre", "");
         process.lines.clear();
         const auto log = std::make_shared<std::ofstream>(options.folder + "/" + name + ".log", std::ios::app);
         process.child = ChildProcess::start(context, options.programs.at(arguments.at("program")), arguments.at("args").get<std::vector<std::string>>(),
             [this, &process, log](const std::string& line) {
                 *log << line << std::endl;
-                takeLine(process, line);
+                handleLogLine(process, line);
             });
         if (!process.child)
             return failure("cannot start " + name);
-        record(process.about, HistoryKind::ProcessStarted);
+        record(process.eventTemplate, HistoryKind::ProcessStarted);
         return true;
     }
 
@@ -118,13 +118,13 @@
     {
         const SignalKind& wanted = signals.at(arguments.at("signal"));
         Process& process = processes.at(arguments.at("name"));
-        const bool isAgent = process.about.role == ProcessRole::Agent;
+        const bool isAgent = process.eventTemplate.role == ProcessRole::Agent;
         // Recorded before the signal is sent, so that no effect of the signal precedes it in the history.
-        record(process.about, wanted.kind);
+        record(process.eventTemplate, wanted.kind);
         if (wanted.kind == HistoryKind::ShutdownBegan && isAgent)
-            record(process.about, HistoryKind::DrainBegan);
+            record(process.eventTemplate, HistoryKind::DrainBegan);
         if (!process.child->signal(wanted.number))
-            return failure(process.about.process + " is not running");
+            return failure(process.eventTemplate.process + " is not running");
         return true;
     }
 
@@ -149,7 +149,7 @@
         const auto reply = std::make_shared<Reply>();
         HttpRequest request { .method = arguments.value("method", "GET"), .target = arguments.at("path") };
         request.body = arguments.contains("body") ? arguments["body"].dump() : "";
-        startHttpCall(context, local(arguments.at("port")), std::move(request), { .timeout = 2000 },
+        startHttpCall(context, loopbackEndpoint(arguments.at("port")), std::move(request), { .timeout = 2000 },
             { .onDone = [reply](std::optional<HttpResponse> response, const HttpOutcome&) {
                 reply->isDone = true;
                 reply->response = std::move(response);
@@ -166,7 +166,7 @@
 
     json relay(const json& arguments)
     {
-        relays.push_back(std::make_unique<Relay>(context, local(arguments.at("to")).port()));
+        relays.push_back(std::make_unique<Relay>(context, loopbackEndpoint(arguments.at("to")).port()));
         return { { "id", relays.size() - 1 }, { "port", relays.back()->port() } };
     }
 
@@ -194,7 +194,7 @@
     json change(const json& arguments)
     {
         auto change = std::make_shared<Change>();
-        PlatformOptions platform { .server = local(arguments.at("platform")) };
+        PlatformOptions platform { .server = loopbackEndpoint(arguments.at("platform")) };
         platform.callTimeout = 1000;
         change->apply = std::make_unique<ConfigApply>(context, platform);
         changes.push_back(change);
@@ -203,14 +203,14 @@
             auto config = parseConfig(arguments["config"].dump(), faults);
             if (!config)
                 return failure(std::string(nameOf(faults.front().kind)) + " at " + faults.front().place);
-            change->apply->apply(std::move(*config), [this, change](const ApplyReport& report) { noteChange(*change, report, { .kind = HistoryKind::OperatorApplied }); });
+            change->apply->apply(std::move(*config), [this, change](const ApplyReport& report) { recordChange(*change, report, { .kind = HistoryKind::OperatorApplied }); });
         } else {
             const bool out = arguments.at("out");
             const std::string dataCentre = arguments.at("dataCentre");
             const HistoryEvent event { .kind = out ? HistoryKind::OperatorTookOut : HistoryKind::OperatorBroughtBack, .dataCentre = dataCentre };
             if (out)
                 history->append({ .kind = HistoryKind::OperatorBeganTakeOut, .dataCentre = dataCentre });
-            change->apply->setDataCentreOut(dataCentre, out, [this, change, event](const ApplyReport& report) { noteChange(*change, report, event); });
+            change->apply->setDataCentreOut(dataCentre, out, [this, change, event](const ApplyReport& report) { recordChange(*change, report, event); });
         }
         return changes.size() - 1;
     }
@@ -269,14 +269,14 @@
     }
 
     /// Keeps the line, and records when a configuration version came into force according to the daemon's log.
-    void takeLine(Process& process, const std::string& line)
+    void handleLogLine(Process& process, const std::string& line)
     {
         process.lines.push_back(line);
-        if (line.find(configEvent) != std::string::npos)
-            history->append({ .kind = HistoryKind::ConfigInForce, .process = process.about.process, .version = versionIn(line) });
+        if (line.find(configEventMarker) != std::string::npos)
+            history->append({ .kind = HistoryKind::ConfigInForce, .process = process.eventTemplate.process, .version = parseVersion(line) });
     }
 
-    void noteChange(Change& change, const ApplyReport& report, HistoryEvent event)
+    void recordChange(Change& change, const ApplyReport& report, HistoryEvent event)
     {
         change.report = report;
         event.version = report.version;
@@ -288,7 +288,7 @@
     Clock clock;
     asio::io_context context;
     std::unique_ptr<HistoryWriter> history;
-    std::vector<std::unique_ptr<HeldPort>> ports;
+    std::vector<std::unique_ptr<ReservedPort>> ports;
     std::vector<std::unique_ptr<Relay>> relays;
     std::vector<std::shared_ptr<Change>> changes;
     std::map<std::string, Process> processes;
--- a/tests/soak/fleet.cpp
+++ b/tests/soak/fleet.cpp
@@ -19,8 +19,8 @@
     constexpr std::uint16_t appPort = 8165;
 
     constexpr Millis readyInterval = 500;
-    constexpr int mostMisses = 2;
-    constexpr Millis grace = 6000;
+    constexpr int maxUnansweredProbes = 2;
+    constexpr Millis terminationGrace = 6000;
 
     constexpr PacketEndpoint boardAddress { .address = 0xc6120001, .port = 443 };
     constexpr PacketEndpoint intakeAddress { .address = 0xc6120002, .port = 443 };
@@ -37,7 +37,7 @@
 
 }
 
-Fleet::Fleet(asio::io_context& context, FleetOptions options, Promises& promises)
+Fleet::Fleet(asio::io_context& context, FleetOptions options, PromiseChecker& promises)
     : m_context(context)
     , m_options(std::move(options))
     , m_promises(promises)
@@ -47,8 +47,8 @@
     DatagramError error = DatagramError::None;
     m_router = DatagramSocket::open(
         context, { addressOf(1), 0 }, [](std::span<std::uint8_t>, const asio::ip::udp::endpoint&) {}, error);
-    m_promises.allow(boardAddress, "board");
-    m_promises.allow(intakeAddress, "intake");
+    m_promises.allowService(boardAddress, "board");
+    m_promises.allowService(intakeAddress, "intake");
     changeConfiguration();
     std::uint32_t number = 0;
     for (const std::string dataCentre : { "north", "south" }) {
@@ -90,7 +90,7 @@
     daemon->address = addressOf(number);
     daemon->isBalancer = isBalancer;
     daemon->settingsPath = m_options.folder + "/" + daemon->name + ".json";
-    daemon->relay = std::make_unique<Relay>(m_context, m_store.openDoor(daemon->name, asio::ip::make_address("127.0.0.1")));
+    daemon->relay = std::make_unique<Relay>(m_context, m_store.openPort(daemon->name, asio::ip::make_address("127.0.0.1")));
     daemon->timer = std::make_unique<Delay>(m_context);
     writeSettings(*daemon);
     start(*daemon);
@@ -107,7 +107,7 @@
         { "ingress", endpointText(daemon.address, ingressPort) },
         { "ready", endpointText(daemon.address, readyPort) },
         { "seeds", { endpointText(addressOf(11), controlPort), endpointText(addressOf(12), controlPort) } },
-        { "leaveSeconds", grace / 1000 },
+        { "leaveSeconds", terminationGrace / 1000 },
     };
     if (!daemon.isBalancer) {
         packets["upstream"] = endpointText(daemon.address, appPort);
@@ -132,11 +132,11 @@
     const auto log = std::make_shared<std::ofstream>(m_options.folder + "/" + daemon.name + ".log", std::ios::app);
     daemon.process = ChildProcess::start(m_context, m_options.program, { "--settings=" + daemon.settingsPath }, [log](const std::string& line) { *log << line << "\n"; });
     daemon.isEnding = false;
-    daemon.isStopped = false;
-    m_promises.noteDisturbed(daemon.name);
+    daemon.isPaused = false;
+    m_promises.recordDisturbance(daemon.name);
 }
 
-void Fleet::startLater(SoakDaemon& daemon, Millis after)
+void Fleet::scheduleStart(SoakDaemon& daemon, Millis after)
 {
     daemon.timer->start(after, [this, &daemon] { start(daemon); });
 }
@@ -146,47 +146,47 @@
     if (daemon.isEnding)
         return;
     daemon.isEnding = true;
-    m_promises.noteDisturbed(daemon.name);
+    m_promises.recordDisturbance(daemon.name);
     daemon.process->signal(SIGKILL);
-    startLater(daemon, downFor);
+    scheduleStart(daemon, downFor);
 }
 
 void Fleet::terminate(SoakDaemon& daemon)
 {
-    if (daemon.isEnding || daemon.isStopped)
+    if (daemon.isEnding || daemon.isPaused)
         return;
     daemon.isEnding = true;
-    m_promises.noteDisturbed(daemon.name);
+    m_promises.recordDisturbance(daemon.name);
     daemon.process->signal(SIGTERM);
-    daemon.timer->start(grace, [this, &daemon] {
+    daemon.timer->start(terminationGrace, [this, &daemon] {
         daemon.process->signal(SIGKILL);
-        startLater(daemon, readyInterval);
+        scheduleStart(daemon, readyInterval);
     });
 }
 
 void Fleet::pause(SoakDaemon& daemon, Millis time)
 {
-    if (daemon.isEnding || daemon.isStopped)
+    if (daemon.isEnding || daemon.isPaused)
         return;
-    daemon.isStopped = true;
-    m_promises.noteDisturbed(daemon.name);
+    daemon.isPaused = true;
+    m_promises.recordDisturbance(daemon.name);
     daemon.process->signal(SIGSTOP);
     daemon.timer->start(time, [this, &daemon] {
         daemon.process->signal(SIGCONT);
-        daemon.isStopped = false;
-        m_promises.noteDisturbed(daemon.name);
+        daemon.isPaused = false;
+        m_promises.recordDisturbance(daemon.name);
     });
 }
 
 void Fleet::takeOut(const std::string& dataCentre)
 {
     m_store.write("evacuations", dataCentre, json::object());
-    m_promises.noteOut(dataCentre);
+    m_promises.recordTakenOut(dataCentre);
 }
 
 void Fleet::bringBack(const std::string& dataCentre)
 {
-    m_promises.noteBack(dataCentre);
+    m_promises.recordBroughtBack(dataCentre);
     m_store.remove("evacuations", dataCentre);
 }
 
@@ -206,11 +206,11 @@
             continue;
         if (daemon->readyCall)
             daemon->readyCall->cancel();
-        ++daemon->misses;
+        ++daemon->unansweredProbes;
         HttpCall::Handlers handlers;
-        handlers.onDone = [raw = daemon.get()](const std::optional<HttpResponse>& response, const HttpOutcome&) {
+        handlers.onDone = [daemonPointer = daemon.get()](const std::optional<HttpResponse>& response, const HttpOutcome&) {
             if (response && response->status == 200)
-                raw->misses = 0;
+                daemonPointer->unansweredProbes = 0;
         };
         daemon->readyCall = startHttpCall(m_context, { daemon->address, readyPort }, { .target = "/ready" }, { .connectTimeout = 300, .timeout = 400 }, std::move(handlers));
     }
@@ -225,7 +225,7 @@
         if (!daemon->isBalancer)
             continue;
         all.push_back(daemon.get());
-        if (daemon->misses <= mostMisses)
+        if (daemon->unansweredProbes <= maxUnansweredProbes)
             ready.push_back(daemon.get());
     }
     return ready.empty() ? all : ready;
@@ -247,7 +247,7 @@
 {
     CallerCounts sum;
     for (const auto& caller : m_callers) {
-        sum.asked += caller->counts().asked;
+        sum.flowsTried += caller->counts().flowsTried;
         sum.opened += caller->counts().opened;
         sum.served += caller->counts().served;
         sum.resets += caller->counts().resets;
@@ -261,11 +261,11 @@
         if (!daemon->process || !daemon->process->exitCode())
             continue;
         if (!daemon->isEnding) {
-            m_promises.breakPromise(Promise::StaysUp, daemon->name + " exited with code " + std::to_string(*daemon->process->exitCode()));
+            m_promises.recordViolation(Promise::StaysUp, daemon->name + " exited with code " + std::to_string(*daemon->process->exitCode()));
             start(*daemon);
         } else if (*daemon->process->exitCode() == 0) {
             daemon->process.reset();
-            startLater(*daemon, readyInterval);
+            scheduleStart(*daemon, readyInterval);
         }
     }
 }
--- a/tests/soak/fleet.h
+++ b/tests/soak/fleet.h
@@ -34,9 +34,9 @@
     std::unique_ptr<Delay> timer;
     /// The soak has ended the process or is ending it; an exit is expected.
     bool isEnding = false;
-    bool isStopped = false;
+    bool isPaused = false;
     /// Balancers only: readiness probes that the routers have sent since the last success.
-    int misses = 2;
+    int unansweredProbes = 2;
     std::shared_ptr<HttpCall> readyCall;
 };
 
@@ -44,7 +44,7 @@
 /// and the callers in this process. Ends only processes that it has started.
 class Fleet {
 public:
-    Fleet(asio::io_context& context, FleetOptions options, Promises& promises);
+    Fleet(asio::io_context& context, FleetOptions options, PromiseChecker& promises);
     ~Fleet();
 
     std::vector<std::unique_ptr<SoakDaemon>>& daemons() { return m_daemons; }
@@ -65,7 +65,7 @@
     void addDaemon(const std::string& dataCentre, std::uint32_t number, bool isBalancer, const std::string& service);
     void writeSettings(const SoakDaemon& daemon) const;
     void start(SoakDaemon& daemon);
-    void startLater(SoakDaemon& daemon, Millis after);
+    void scheduleStart(SoakDaemon& daemon, Millis after);
     void pollReady();
     std::vector<SoakDaemon*> rotation() const;
     void route(const FlowKey& flow, std::span<const std::uint8_t> packet);
@@ -73,7 +73,7 @@
 
     asio::io_context& m_context;
     FleetOptions m_options;
-    Promises& m_promises;
+    PromiseChecker& m_promises;
     StoreStandIn m_store;
     Delay m_readyTimer;
     std::unique_ptr<DatagramSocket> m_router;
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -20,31 +20,31 @@
 using namespace kingcuptrail;
 
 constexpr Millis startTime = 4000;
-constexpr Millis healTime = 8000;
-constexpr Millis calmWindow = 2000;
+constexpr Millis recoveryTime = 8000;
+constexpr Millis faultFreeWindow = 2000;
 /// Percentage of the openings in the final fault-free window that have to be answered.
-constexpr std::uint64_t servedAtTheEnd = 95;
+constexpr std::uint64_t minOpenedPercent = 95;
 constexpr Millis checkInterval = 50;
 
 /// Injects overlapping faults of every kind, drawn from the seed.
-class Faults {
+class FaultInjector {
 public:
-    Faults(asio::io_context& context, Fleet& fleet, Promises& promises, std::uint32_t seed)
+    FaultInjector(asio::io_context& context, Fleet& fleet, PromiseChecker& promises, std::uint32_t seed)
         : m_fleet(fleet)
         , m_promises(promises)
         , m_timer(context)
-        , m_healTimer(context)
-        , m_backTimer(context)
+        , m_storeFaultTimer(context)
+        , m_bringBackTimer(context)
         , m_random(seed)
     {
     }
 
-    void start() { next(); }
+    void start() { scheduleNext(); }
 
     void stop()
     {
         m_timer.cancel();
-        heal();
+        clearStoreFault();
         bringBack();
         for (auto& upstream : m_fleet.upstreams()) {
             if (m_draining.contains(upstream.get()))
@@ -53,128 +53,128 @@
     }
 
 private:
-    std::uint32_t draw(std::uint32_t below) { return static_cast<std::uint32_t>(m_random() >> 8) % below; }
+    std::uint32_t randomBelow(std::uint32_t below) { return static_cast<std::uint32_t>(m_random() >> 8) % below; }
 
-    SoakDaemon& anyDaemon() { return *m_fleet.daemons()[draw(static_cast<std::uint32_t>(m_fleet.daemons().size()))]; }
-    SoakUpstream& anyUpstream() { return *m_fleet.upstreams()[draw(static_cast<std::uint32_t>(m_fleet.upstreams().size()))]; }
+    SoakDaemon& randomDaemon() { return *m_fleet.daemons()[randomBelow(static_cast<std::uint32_t>(m_fleet.daemons().size()))]; }
+    SoakUpstream& randomUpstream() { return *m_fleet.upstreams()[randomBelow(static_cast<std::uint32_t>(m_fleet.upstreams().size()))]; }
 
-    void next()
+    void scheduleNext()
     {
-        makeOne();
-        m_timer.start(200 + draw(1200), [this] { next(); });
+        injectFault();
+        m_timer.start(200 + randomBelow(1200), [this] { scheduleNext(); });
     }
 
-    void makeOne()
+    void injectFault()
     {
-        SoakDaemon& daemon = anyDaemon();
-        switch (draw(13)) {
+        SoakDaemon& daemon = randomDaemon();
+        switch (randomBelow(13)) {
         case 0:
         case 1:
-            say("kill " + daemon.name);
-            m_fleet.kill(daemon, 200 + draw(800));
+            logFault("kill " + daemon.name);
+            m_fleet.kill(daemon, 200 + randomBelow(800));
             break;
         case 2:
         case 3:
-            say("terminate " + daemon.name);
+            logFault("terminate " + daemon.name);
             m_fleet.terminate(daemon);
             break;
         case 4:
-            say("pause " + daemon.name);
-            m_fleet.pause(daemon, 300 + draw(3000));
+            logFault("pause " + daemon.name);
+            m_fleet.pause(daemon, 300 + randomBelow(3000));
             break;
         case 5:
-            breakStore("");
+            injectStoreFault("");
             break;
         case 6:
-            breakStore(daemon.name);
+            injectStoreFault(daemon.name);
             break;
         case 7:
-            say("silence store connections of " + daemon.name);
+            logFault("silence store connections of " + daemon.name);
             daemon.relay->silence();
-            m_promises.noteDisturbed(daemon.name);
+            m_promises.recordDisturbance(daemon.name);
             break;
         case 8:
-            say("cut store connections of " + daemon.name + ", drop change history");
+            logFault("cut store connections of " + daemon.name + ", drop change history");
             daemon.relay->cut();
             m_fleet.store().dropHistory();
             break;
         case 9:
-            say("change configuration");
+            logFault("change configuration");
             m_fleet.changeConfiguration();
             break;
         case 10:
-            if (m_out.empty())
+            if (m_dataCentreOut.empty())
                 takeOut();
             break;
         case 11:
             restartUpstream();
             break;
         default:
-            say("SIGHUP to " + daemon.name);
+            logFault("SIGHUP to " + daemon.name);
             if (daemon.process && !daemon.isEnding)
                 daemon.process->signal(SIGHUP);
             break;
         }
     }
 
-    void breakStore(const std::string& host)
+    void injectStoreFault(const std::string& host)
     {
-        const auto fault = static_cast<StoreFault>(1 + draw(static_cast<std::uint32_t>(EnumNames<StoreFault>::names.size()) - 1));
-        say("store " + std::string(nameOf(fault)) + " for " + (host.empty() ? "all" : host));
-        heal();
-        m_brokenHost = host;
+        const auto fault = static_cast<StoreFault>(1 + randomBelow(static_cast<std::uint32_t>(EnumNames<StoreFault>::names.size()) - 1));
+        logFault("store " + std::string(nameOf(fault)) + " for " + (host.empty() ? "all" : host));
+        clearStoreFault();
+        m_storeFaultHost = host;
         m_fleet.store().setFault(host, fault);
-        m_promises.noteStoreDisturbed();
-        m_healTimer.start(1000 + draw(4000), [this] { heal(); });
+        m_promises.recordStoreDisturbance();
+        m_storeFaultTimer.start(1000 + randomBelow(4000), [this] { clearStoreFault(); });
     }
 
-    void heal()
+    void clearStoreFault()
     {
-        m_fleet.store().setFault(m_brokenHost, StoreFault::None);
-        m_promises.noteStoreDisturbed();
+        m_fleet.store().setFault(m_storeFaultHost, StoreFault::None);
+        m_promises.recordStoreDisturbance();
     }
 
     void takeOut()
     {
-        m_out = draw(2) == 0 ? "north" : "south";
-        say("take out data centre " + m_out);
-        m_fleet.takeOut(m_out);
-        m_backTimer.start(2000 + draw(8000), [this] { bringBack(); });
+        m_dataCentreOut = randomBelow(2) == 0 ? "north" : "south";
+        logFault("take out data centre " + m_dataCentreOut);
+        m_fleet.takeOut(m_dataCentreOut);
+        m_bringBackTimer.start(2000 + randomBelow(8000), [this] { bringBack(); });
     }
 
     void bringBack()
     {
-        if (m_out.empty())
+        if (m_dataCentreOut.empty())
             return;
-        say("bring back data centre " + m_out);
-        m_fleet.bringBack(m_out);
-        m_out.clear();
+        logFault("bring back data centre " + m_dataCentreOut);
+        m_fleet.bringBack(m_dataCentreOut);
+        m_dataCentreOut.clear();
     }
 
     void restartUpstream()
     {
-        SoakUpstream& upstream = anyUpstream();
-        if (draw(2) == 0 || m_draining.contains(&upstream)) {
-            say("restart upstream of " + upstream.options().host);
+        SoakUpstream& upstream = randomUpstream();
+        if (randomBelow(2) == 0 || m_draining.contains(&upstream)) {
+            logFault("restart upstream of " + upstream.options().host);
             m_draining.erase(&upstream);
             upstream.restart();
         } else {
-            say("drain upstream of " + upstream.options().host);
+            logFault("drain upstream of " + upstream.options().host);
             m_draining.insert(&upstream);
             upstream.startDraining();
         }
     }
 
-    static void say(const std::string& what) { std::cout << Clock().now() << " " << what << "\n"; }
+    static void logFault(const std::string& what) { std::cout << Clock().now() << " " << what << "\n"; }
 
     Fleet& m_fleet;
-    Promises& m_promises;
+    PromiseChecker& m_promises;
     Delay m_timer;
-    Delay m_healTimer;
-    Delay m_backTimer;
+    Delay m_storeFaultTimer;
+    Delay m_bringBackTimer;
     std::minstd_rand m_random;
-    std::string m_brokenHost;
-    std::string m_out;
+    std::string m_storeFaultHost;
+    std::string m_dataCentreOut;
     std::set<SoakUpstream*> m_draining;
 };
 
@@ -189,24 +189,24 @@
     }
 }
 
-void checkRecovery(const CallerCounts& before, const CallerCounts& after, Promises& promises)
+void checkRecovery(const CallerCounts& before, const CallerCounts& after, PromiseChecker& promises)
 {
-    const std::uint64_t asked = after.asked - before.asked;
+    const std::uint64_t flowsTried = after.flowsTried - before.flowsTried;
     const std::uint64_t opened = after.opened - before.opened;
-    std::cout << "fault-free window: flows tried " << asked << ", opened " << opened << "; in all: flows tried " << after.asked << ", served " << after.served << ", resets " << after.resets << "\n";
-    if (opened * 100 < asked * servedAtTheEnd)
-        promises.breakPromise(Promise::Recovers, std::to_string(opened) + " of " + std::to_string(asked));
+    std::cout << "fault-free window: flows tried " << flowsTried << ", opened " << opened << "; in all: flows tried " << after.flowsTried << ", served " << after.served << ", resets " << after.resets << "\n";
+    if (opened * 100 < flowsTried * minOpenedPercent)
+        promises.recordViolation(Promise::Recovers, std::to_string(opened) + " of " + std::to_string(flowsTried));
 }
 
-int report(const Promises& promises, const std::string& folder)
+int report(const PromiseChecker& promises, const std::string& folder)
 {
-    for (const auto& [promise, cases] : promises.broken())
+    for (const auto& [promise, cases] : promises.violations())
         std::cout << "BROKEN " << nameOf(promise) << " " << cases.size() << " times, first: " << cases.front() << "\n";
-    if (!promises.isBroken()) {
+    if (!promises.hasViolations()) {
         std::filesystem::remove_all(folder);
         std::cout << "all promises held\n";
     }
-    return promises.isBroken() ? 1 : 0;
+    return promises.hasViolations() ? 1 : 0;
 }
 
 }
@@ -224,16 +224,16 @@
 
     asio::io_context context;
     const Clock clock;
-    Promises promises(clock);
+    PromiseChecker promises(clock);
     Fleet fleet(context, { .program = absl::GetFlag(FLAGS_program), .folder = folder, .seed = seed, .balancers = absl::GetFlag(FLAGS_balancers), .agents = absl::GetFlag(FLAGS_agents), .isModulo = absl::GetFlag(FLAGS_modulo) }, promises);
-    Faults faults(context, fleet, promises, seed);
+    FaultInjector faults(context, fleet, promises, seed);
     runFor(context, fleet, startTime);
     faults.start();
     runFor(context, fleet, Millis { absl::GetFlag(FLAGS_seconds) } * 1000);
     faults.stop();
-    runFor(context, fleet, healTime);
+    runFor(context, fleet, recoveryTime);
     const CallerCounts before = fleet.counts();
-    runFor(context, fleet, calmWindow);
+    runFor(context, fleet, faultFreeWindow);
     checkRecovery(before, fleet.counts(), promises);
     return report(promises, folder);
 }
--- /dev/null
+++ b/tests/soak/promisechecker.cpp
@@ -0,0 +1,54 @@
+#include "promisechecker.h"
+
+#include <sstream>
+
+namespace kingcuptrail {
+
+namespace {
+
+    /// Bounds of the platform's rules, in milliseconds.
+    constexpr Millis undisturbedTime = 4000;
+    constexpr Millis drainBound = 3000;
+    constexpr Millis outageBound = 5000;
+    /// Added to the outage bound while the store is disturbed and shortly afterwards, since changes arrive later then.
+    constexpr Millis disturbedStoreBound = 12000;
+
+}
+
+bool PromiseChecker::isUndisturbed(const std::string& host) const
+{
+    const auto found = m_disturbedAt.find(host);
+    return found == m_disturbedAt.end() || m_clock.now() - found->second > undisturbedTime;
+}
+
+void PromiseChecker::recordOpening(const std::string& upstream, const std::string& service, const std::string& dataCentre, const PacketEndpoint& address)
+{
+    const Millis now = m_clock.now();
+    const auto allowed = m_allowedServices.find(toServiceAddress(address));
+    if (allowed == m_allowedServices.end() || !allowed->second.contains(service))
+        recordViolation(Promise::RightService, toString(address) + " at " + upstream);
+    if (!isUndisturbed(upstream))
+        return;
+    if (const auto draining = m_drainingSince.find(upstream); draining != m_drainingSince.end() && now - draining->second > drainBound)
+        recordViolation(Promise::DrainHeld, upstream + " after " + std::to_string(now - draining->second) + " ms");
+    const Millis bound = now - m_storeDisturbedAt < undisturbedTime + disturbedStoreBound ? outageBound + disturbedStoreBound : outageBound;
+    if (const auto out = m_outSince.find(dataCentre); out != m_outSince.end() && now - out->second > bound)
+        recordViolation(Promise::OutageHeld, upstream + " after " + std::to_string(now - out->second) + " ms");
+}
+
+void PromiseChecker::checkReset(const std::string& flow, std::uint32_t sequence)
+{
+    const auto answers = m_answers.find(flow);
+    if (answers == m_answers.end() || !answers->second.contains(sequence))
+        return;
+    const Answerer& holder = answers->second.at(sequence);
+    if (m_processes[holder.upstream] == holder.process && isUndisturbed(holder.upstream))
+        recordViolation(Promise::FlowKept, flow + " at " + holder.upstream);
+}
+
+void PromiseChecker::recordViolation(Promise promise, const std::string& what)
+{
+    m_violations[promise].push_back(std::to_string(m_clock.now()) + " " + what);
+}
+
+}
--- a/tests/soak/promises.h
+++ b/tests/soak/promisechecker.h
@@ -38,33 +38,33 @@
 };
 
 /// Checks the promises while the soak runs, from what callers and upstreams observe. Violations that concern a host count only
-/// when no fault has touched that host for `contact`.
-class Promises {
+/// when no fault has touched that host for `undisturbedTime`.
+class PromiseChecker {
 public:
-    explicit Promises(const Clock& clock)
+    explicit PromiseChecker(const Clock& clock)
         : m_clock(clock)
     {
     }
 
-    void noteDisturbed(const std::string& host) { m_disturbedAt[host] = m_clock.now(); }
-    void noteStoreDisturbed() { m_storeDisturbedAt = m_clock.now(); }
-    void noteOut(const std::string& dataCentre) { m_outSince[dataCentre] = m_clock.now(); }
-    void noteBack(const std::string& dataCentre) { m_outSince.erase(dataCentre); }
-    void noteDraining(const std::string& upstream) { m_drainingSince[upstream] = m_clock.now(); }
-    void noteRestarted(const std::string& upstream) { m_drainingSince.erase(upstream); }
-    void allow(const PacketEndpoint& address, const std::string& service) { m_allowed[toServiceAddress(address)].insert(service); }
+    void recordDisturbance(const std::string& host) { m_disturbedAt[host] = m_clock.now(); }
+    void recordStoreDisturbance() { m_storeDisturbedAt = m_clock.now(); }
+    void recordTakenOut(const std::string& dataCentre) { m_outSince[dataCentre] = m_clock.now(); }
+    void recordBroughtBack(const std::string& dataCentre) { m_outSince.erase(dataCentre); }
+    void recordDraining(const std::string& upstream) { m_drainingSince[upstream] = m_clock.now(); }
+    void recordRestart(const std::string& upstream) { m_drainingSince.erase(upstream); }
+    void allowService(const PacketEndpoint& address, const std::string& service) { m_allowedServices[toServiceAddress(address)].insert(service); }
 
     /// Records that an upstream accepted an opening, and checks whether it may have reached this upstream.
-    void noteOpening(const std::string& upstream, const std::string& service, const std::string& dataCentre, const PacketEndpoint& address);
+    void recordOpening(const std::string& upstream, const std::string& service, const std::string& dataCentre, const PacketEndpoint& address);
     /// Records that an upstream answered the flow with this sequence number; it holds the flow if the caller acknowledges it.
-    void noteAnswer(const std::string& flow, std::uint32_t sequence, const std::string& upstream, std::uint32_t process) { m_answers[flow][sequence] = { upstream, process }; }
-    void noteProcess(const std::string& upstream, std::uint32_t process) { m_processes[upstream] = process; }
+    void recordAnswer(const std::string& flow, std::uint32_t sequence, const std::string& upstream, std::uint32_t process) { m_answers[flow][sequence] = { upstream, process }; }
+    void recordProcess(const std::string& upstream, std::uint32_t process) { m_processes[upstream] = process; }
     /// Checks the reset of a caller's open flow that was opened by the answer with this sequence number.
-    void noteReset(const std::string& flow, std::uint32_t sequence);
+    void checkReset(const std::string& flow, std::uint32_t sequence);
 
-    void breakPromise(Promise promise, const std::string& what);
-    bool isBroken() const { return !m_broken.empty(); }
-    const std::map<Promise, std::vector<std::string>>& broken() const { return m_broken; }
+    void recordViolation(Promise promise, const std::string& what);
+    bool hasViolations() const { return !m_violations.empty(); }
+    const std::map<Promise, std::vector<std::string>>& violations() const { return m_violations; }
 
 private:
     struct Answerer {
@@ -72,16 +72,16 @@
         std::uint32_t process = 0;
     };
 
-    bool isCalm(const std::string& host) const;
+    bool isUndisturbed(const std::string& host) const;
 
     const Clock& m_clock;
     std::map<std::string, Millis> m_disturbedAt;
     std::map<std::string, Millis> m_outSince;
     std::map<std::string, Millis> m_drainingSince;
-    std::map<ServiceAddress, std::set<std::string>> m_allowed;
+    std::map<ServiceAddress, std::set<std::string>> m_allowedServices;
     std::map<std::string, std::map<std::uint32_t, Answerer>> m_answers;
     std::map<std::string, std::uint32_t> m_processes;
-    std::map<Promise, std::vector<std::string>> m_broken;
+    std::map<Promise, std::vector<std::string>> m_violations;
     Millis m_storeDisturbedAt = -100000;
 };
 
--- a/tests/soak/soakcaller.cpp
+++ b/tests/soak/soakcaller.cpp
@@ -9,14 +9,14 @@
 namespace {
 
     constexpr Millis flowInterval = 40;
-    constexpr Millis resend = 200;
-    constexpr int openingSends = 4;
-    constexpr int requestSends = 12;
+    constexpr Millis resendInterval = 200;
+    constexpr int maxOpeningSends = 4;
+    constexpr int maxRequestSends = 12;
     constexpr std::uint32_t firstSequence = 1000;
 
 }
 
-SoakCaller::SoakCaller(asio::io_context& context, const asio::ip::address_v4& address, std::uint16_t port, std::vector<PacketEndpoint> services, Route route, Promises& promises, std::uint32_t seed)
+SoakCaller::SoakCaller(asio::io_context& context, const asio::ip::address_v4& address, std::uint16_t port, std::vector<PacketEndpoint> services, Route route, PromiseChecker& promises, std::uint32_t seed)
     : m_context(context)
     , m_address(address)
     , m_services(std::move(services))
@@ -41,41 +41,41 @@
     flow.key = key;
     flow.requestsLeft = 1 + static_cast<int>(m_random() % 30);
     flow.timer = std::make_unique<Delay>(m_context);
-    ++m_counts.asked;
+    ++m_counts.flowsTried;
     sendOpening(flow);
 }
 
 void SoakCaller::sendOpening(Flow& flow)
 {
-    if (flow.sends++ == openingSends) {
+    if (flow.sends++ == maxOpeningSends) {
         endFlow(toString(flow.key));
         return;
     }
-    flow.sent = firstSequence;
+    flow.nextSequence = firstSequence;
     transmit(flow, { .opens = true }, static_cast<std::uint32_t>(flow.sends - 1), {});
-    flow.timer->start(resend * flow.sends, [this, &flow] { sendOpening(flow); });
+    flow.timer->start(resendInterval * flow.sends, [this, &flow] { sendOpening(flow); });
 }
 
 void SoakCaller::sendRequest(Flow& flow)
 {
     flow.request = std::to_string(m_address.to_uint()) + "/" + std::to_string(++m_nextRequest);
     flow.sends = 0;
-    sendAgain(flow);
+    sendRequestAttempt(flow);
 }
 
-void SoakCaller::sendAgain(Flow& flow)
+void SoakCaller::sendRequestAttempt(Flow& flow)
 {
-    if (flow.sends++ == requestSends) {
+    if (flow.sends++ == maxRequestSends) {
         endFlow(toString(flow.key));
         return;
     }
     transmit(flow, { .acknowledges = true }, flow.answerSequence + 1, flow.request);
-    flow.timer->start(resend, [this, &flow] { sendAgain(flow); });
+    flow.timer->start(resendInterval, [this, &flow] { sendRequestAttempt(flow); });
 }
 
 void SoakCaller::transmit(const Flow& flow, const PacketFlags& flags, std::uint32_t acknowledged, const std::string& data)
 {
-    m_route(flow.key, encodePacket({ .source = flow.key.caller, .destination = flow.key.service, .flags = flags, .sequence = flow.sent, .acknowledged = acknowledged, .data = data }));
+    m_route(flow.key, encodePacket({ .source = flow.key.caller, .destination = flow.key.service, .flags = flags, .sequence = flow.nextSequence, .acknowledged = acknowledged, .data = data }));
 }
 
 void SoakCaller::handlePacket(std::span<const std::uint8_t> packet)
@@ -92,24 +92,24 @@
     if (head->flags.resets) {
         ++m_counts.resets;
         if (flow.isOpen)
-            m_promises.noteReset(name, flow.answerSequence);
+            m_promises.checkReset(name, flow.answerSequence);
         endFlow(name);
         return;
     }
-    if (!isUntouched(packet)) {
-        m_promises.breakPromise(Promise::Untouched, "at the caller of " + name);
+    if (!hasValidChecksum(packet)) {
+        m_promises.recordViolation(Promise::Untouched, "at the caller of " + name);
         return;
     }
     if (head->flags.opens && !flow.isOpen) {
         flow.isOpen = true;
         ++m_counts.opened;
         flow.answerSequence = head->sequence;
-        flow.sent = firstSequence + 1;
+        flow.nextSequence = firstSequence + 1;
         sendRequest(flow);
     } else if (head->flags.ends) {
         endFlow(name);
     } else if (flow.isOpen && head->dataLength > 0) {
-        handleAnswer(flow, dataOf(packet));
+        handleAnswer(flow, payloadOf(packet));
     }
 }
 
@@ -120,10 +120,10 @@
     if (data != "answer to " + flow.request) {
         // A duplicate of the answer to this caller's previous request is allowed.
         if (!data.starts_with("answer to " + std::to_string(m_address.to_uint()) + "/"))
-            m_promises.breakPromise(Promise::OwnAnswer, data + " for " + flow.request);
+            m_promises.recordViolation(Promise::OwnAnswer, data + " for " + flow.request);
         return;
     }
-    flow.sent += static_cast<std::uint32_t>(flow.request.size());
+    flow.nextSequence += static_cast<std::uint32_t>(flow.request.size());
     flow.request.clear();
     if (--flow.requestsLeft > 0) {
         const Millis pause = m_random() % 2 == 0 ? 20 : 400;
@@ -132,7 +132,7 @@
     }
     ++m_counts.served;
     transmit(flow, { .acknowledges = true, .ends = true }, flow.answerSequence + 1, {});
-    flow.timer->start(resend, [this, name = toString(flow.key)] { endFlow(name); });
+    flow.timer->start(resendInterval, [this, name = toString(flow.key)] { endFlow(name); });
 }
 
 // Posted, because the caller may be a handler of the flow's own timer, which must not be destroyed while it runs.
--- a/tests/soak/soakcaller.h
+++ b/tests/soak/soakcaller.h
@@ -2,7 +2,7 @@
 
 #include "libplatform/delay.h"
 #include "libruntime/datagramsocket.h"
-#include "promises.h"
+#include "promisechecker.h"
 #include "soakpackets.h"
 
 #include <memory>
@@ -12,7 +12,7 @@
 namespace kingcuptrail {
 
 struct CallerCounts {
-    std::uint64_t asked = 0;
+    std::uint64_t flowsTried = 0;
     std::uint64_t opened = 0;
     std::uint64_t served = 0;
     std::uint64_t resets = 0;
@@ -25,7 +25,7 @@
     /// Sends a caller's packet to a balancer, as the routers would.
     using Route = std::function<void(const FlowKey&, std::span<const std::uint8_t>)>;
 
-    SoakCaller(asio::io_context& context, const asio::ip::address_v4& address, std::uint16_t port, std::vector<PacketEndpoint> services, Route route, Promises& promises, std::uint32_t seed);
+    SoakCaller(asio::io_context& context, const asio::ip::address_v4& address, std::uint16_t port, std::vector<PacketEndpoint> services, Route route, PromiseChecker& promises, std::uint32_t seed);
 
     const CallerCounts& counts() const { return m_counts; }
     void stop() { m_isStopped = true; }
@@ -34,7 +34,7 @@
     struct Flow {
         FlowKey key;
         std::uint32_t answerSequence = 0;
-        std::uint32_t sent = 0;
+        std::uint32_t nextSequence = 0;
         std::string request;
         int requestsLeft = 0;
         int sends = 0;
@@ -46,7 +46,7 @@
     void beginFlow();
     void sendOpening(Flow& flow);
     void sendRequest(Flow& flow);
-    void sendAgain(Flow& flow);
+    void sendRequestAttempt(Flow& flow);
     void handlePacket(std::span<const std::uint8_t> packet);
     void handleAnswer(Flow& flow, const std::string& data);
     void endFlow(const std::string& name);
@@ -56,7 +56,7 @@
     asio::ip::address_v4 m_address;
     std::vector<PacketEndpoint> m_services;
     Route m_route;
-    Promises& m_promises;
+    PromiseChecker& m_promises;
     std::unique_ptr<DatagramSocket> m_socket;
     Delay m_nextTimer;
     std::unordered_map<std::string, Flow> m_flows;
--- a/tests/soak/soakpackets.h
+++ b/tests/soak/soakpackets.h
@@ -10,7 +10,7 @@
 namespace kingcuptrail {
 
 /// The fields of a packet that an end of a flow sets.
-struct PacketDraft {
+struct PacketFields {
     PacketEndpoint source;
     PacketEndpoint destination;
     PacketFlags flags;
@@ -20,12 +20,12 @@
 };
 
 /// Encodes a packet as its sender does, with the keyed checksum that only the ends of a flow can compute.
-std::vector<std::uint8_t> encodePacket(const PacketDraft&);
+std::vector<std::uint8_t> encodePacket(const PacketFields&);
 
 /// Whether the packet is as its sender wrote it, apart from the marks that the system may set.
-bool isUntouched(std::span<const std::uint8_t> packet);
+bool hasValidChecksum(std::span<const std::uint8_t> packet);
 
 /// The data that follows the packet's header.
-std::string dataOf(std::span<const std::uint8_t> packet);
+std::string payloadOf(std::span<const std::uint8_t> packet);
 
 }
--- a/tests/soak/soakupstream.cpp
+++ b/tests/soak/soakupstream.cpp
@@ -17,7 +17,7 @@
 
 }
 
-SoakUpstream::SoakUpstream(asio::io_context& context, UpstreamOptions options, Promises& promises, std::uint32_t seed)
+SoakUpstream::SoakUpstream(asio::io_context& context, UpstreamOptions options, PromiseChecker& promises, std::uint32_t seed)
     : m_context(context)
     , m_options(std::move(options))
     , m_promises(promises)
@@ -33,26 +33,26 @@
 void SoakUpstream::restart()
 {
     m_flows.clear();
-    m_born = std::max(m_born + 1, wallMillis());
+    m_startedAt = std::max(m_startedAt + 1, wallMillis());
     m_sequence = 0;
     m_isDraining = false;
-    m_promises.noteProcess(m_options.host, ++m_process);
-    m_promises.noteRestarted(m_options.host);
-    report();
+    m_promises.recordProcess(m_options.host, ++m_processNumber);
+    m_promises.recordRestart(m_options.host);
+    sendReport();
 }
 
 void SoakUpstream::startDraining()
 {
     m_isDraining = true;
-    report();
+    sendReport();
 }
 
 void SoakUpstream::handlePacket(std::span<std::uint8_t> packet)
 {
     DecodeError error = DecodeError::None;
     const auto head = trustAdapter().decodePacket(packet, error);
-    if (!head || !isUntouched(packet)) {
-        m_promises.breakPromise(Promise::Untouched, "at " + m_options.host);
+    if (!head || !hasValidChecksum(packet)) {
+        m_promises.recordViolation(Promise::Untouched, "at " + m_options.host);
         return;
     }
     const FlowKey flow = flowFromCaller(*head);
@@ -60,15 +60,15 @@
     if (isOpening(*head)) {
         const auto [found, isNew] = m_flows.try_emplace(name, Flow { .sequence = static_cast<std::uint32_t>(m_random()) });
         if (isNew)
-            m_promises.noteOpening(m_options.host, m_options.service, m_options.dataCentre, head->destination);
-        m_promises.noteAnswer(name, found->second.sequence, m_options.host, m_process);
+            m_promises.recordOpening(m_options.host, m_options.service, m_options.dataCentre, head->destination);
+        m_promises.recordAnswer(name, found->second.sequence, m_options.host, m_processNumber);
         send({ .source = flow.service, .destination = flow.caller, .flags = { .opens = true, .acknowledges = true }, .sequence = found->second.sequence, .acknowledged = head->sequence + 1 });
         return;
     }
     const auto found = m_flows.find(name);
     const bool isHeld = found != m_flows.end() && head->acknowledged - found->second.sequence < 100000;
     if (!isHeld) {
-        handBack(packet);
+        returnPacket(packet);
         return;
     }
     if (head->flags.ends) {
@@ -76,7 +76,7 @@
         return;
     }
     if (head->dataLength > 0)
-        answerData(flow, found->second, *head, dataOf(packet));
+        answerData(flow, found->second, *head, payloadOf(packet));
 }
 
 // The answer repeats the text of the request. A request that is sent again is answered again.
@@ -93,17 +93,17 @@
     });
 }
 
-void SoakUpstream::handBack(std::span<std::uint8_t> packet)
+void SoakUpstream::returnPacket(std::span<std::uint8_t> packet)
 {
-    constexpr std::size_t flagsAt = 10;
+    constexpr std::size_t flagsOffset = 10;
     constexpr std::uint8_t returnedBit = 4;
-    packet[flagsAt] |= returnedBit;
+    packet[flagsOffset] |= returnedBit;
     m_socket->send(packet, { m_options.address, m_options.outboundPort });
 }
 
-void SoakUpstream::send(const PacketDraft& draft)
+void SoakUpstream::send(const PacketFields& fields)
 {
-    m_socket->send(encodePacket(draft), { m_options.address, m_options.outboundPort });
+    m_socket->send(encodePacket(fields), { m_options.address, m_options.outboundPort });
 }
 
 std::string SoakUpstream::body() const
@@ -116,24 +116,24 @@
         { "state", m_isDraining ? "draining" : "ready" },
         { "warmup-left-ms", 0 },
         { "sequence", m_sequence },
-        { "born", m_born },
+        { "born", m_startedAt },
     }
         .dump();
 }
 
-void SoakUpstream::report()
+void SoakUpstream::sendReport()
 {
     ++m_sequence;
     if (m_call)
         m_call->cancel();
     HttpCall::Handlers handlers;
-    handlers.onDone = [this, isDraining = m_isDraining, process = m_process](const std::optional<HttpResponse>& response, const HttpOutcome&) {
-        if (response && response->status == 200 && isDraining && process == m_process && m_isDraining)
-            m_promises.noteDraining(m_options.host);
+    handlers.onDone = [this, isDraining = m_isDraining, process = m_processNumber](const std::optional<HttpResponse>& response, const HttpOutcome&) {
+        if (response && response->status == 200 && isDraining && process == m_processNumber && m_isDraining)
+            m_promises.recordDraining(m_options.host);
     };
-    HttpRequest request { .method = "PUT", .target = "/targets/i-" + m_options.host + "-" + std::to_string(m_process), .headers = { { "Content-Type", "application/json" } }, .body = body() };
+    HttpRequest request { .method = "PUT", .target = "/targets/i-" + m_options.host + "-" + std::to_string(m_processNumber), .headers = { { "Content-Type", "application/json" } }, .body = body() };
     m_call = startHttpCall(m_context, { m_options.address, m_options.controlPort }, std::move(request), { .connectTimeout = 300, .timeout = 350 }, std::move(handlers));
-    m_reportTimer.start(reportInterval, [this] { report(); });
+    m_reportTimer.start(reportInterval, [this] { sendReport(); });
 }
 
 }
--- a/tests/soak/soakupstream.h
+++ b/tests/soak/soakupstream.h
@@ -3,7 +3,7 @@
 #include "libhttp/httpclient.h"
 #include "libplatform/delay.h"
 #include "libruntime/datagramsocket.h"
-#include "promises.h"
+#include "promisechecker.h"
 #include "soakpackets.h"
 
 #include <map>
@@ -25,7 +25,7 @@
 /// does not hold, and reports to its agent. Tells the promise checker which openings reached it.
 class SoakUpstream {
 public:
-    SoakUpstream(asio::io_context& context, UpstreamOptions options, Promises& promises, std::uint32_t seed);
+    SoakUpstream(asio::io_context& context, UpstreamOptions options, PromiseChecker& promises, std::uint32_t seed);
 
     /// Simulates the end of the process and the immediate start of a new one, which holds no flows.
     void restart();
@@ -40,22 +40,22 @@
 
     void handlePacket(std::span<std::uint8_t> packet);
     void answerData(const FlowKey& flow, Flow& state, const PacketHeader& head, const std::string& data);
-    void handBack(std::span<std::uint8_t> packet);
-    void send(const PacketDraft& draft);
-    void report();
+    void returnPacket(std::span<std::uint8_t> packet);
+    void send(const PacketFields& fields);
+    void sendReport();
     std::string body() const;
 
     asio::io_context& m_context;
     UpstreamOptions m_options;
-    Promises& m_promises;
+    PromiseChecker& m_promises;
     std::unique_ptr<DatagramSocket> m_socket;
     Delay m_reportTimer;
     std::shared_ptr<HttpCall> m_call;
     std::map<std::string, Flow> m_flows;
     std::minstd_rand m_random;
-    std::uint64_t m_born = 0;
+    std::uint64_t m_startedAt = 0;
     std::uint64_t m_sequence = 0;
-    std::uint32_t m_process = 0;
+    std::uint32_t m_processNumber = 0;
     bool m_isDraining = false;
 };
 
--- a/tests/soak/storestandin.cpp
+++ b/tests/soak/storestandin.cpp
@@ -9,7 +9,7 @@
     constexpr Millis usualDelay = 4;
     constexpr Millis slowDelay = 240;
 
-    HttpResponse reply(int status, const json& body)
+    HttpResponse jsonResponse(int status, const json& body)
     {
         return { .status = status, .headers = { { "Content-Type", "application/json" } }, .body = body.dump() };
     }
@@ -37,12 +37,12 @@
 {
 }
 
-std::uint16_t StoreStandIn::openDoor(const std::string& host, const asio::ip::address& address)
+std::uint16_t StoreStandIn::openPort(const std::string& host, const asio::ip::address& address)
 {
     asio::error_code error;
-    m_doors.push_back(HttpServer::listen(
+    m_servers.push_back(HttpServer::listen(
         m_context, { address, 0 }, {}, [this, host](const HttpRequest& request, const std::shared_ptr<HttpResponder>& responder) { handle(host, request, responder); }, error));
-    return m_doors.back()->localEndpoint().port();
+    return m_servers.back()->localEndpoint().port();
 }
 
 void StoreStandIn::setFault(const std::string& host, StoreFault fault)
@@ -52,11 +52,11 @@
 
 StoreFault StoreStandIn::faultOf(const std::string& host) const
 {
-    const auto own = m_faults.find(host);
-    if (own != m_faults.end() && own->second != StoreFault::None)
-        return own->second;
-    const auto all = m_faults.find("");
-    return all != m_faults.end() ? all->second : StoreFault::None;
+    const auto hostFault = m_faults.find(host);
+    if (hostFault != m_faults.end() && hostFault->second != StoreFault::None)
+        return hostFault->second;
+    const auto allHostsFault = m_faults.find("");
+    return allHostsFault != m_faults.end() ? allHostsFault->second : StoreFault::None;
 }
 
 void StoreStandIn::dropHistory()
@@ -73,15 +73,15 @@
         return;
     }
     if (fault == StoreFault::Busy) {
-        responder->respond(reply(503, json::object()));
+        responder->respond(jsonResponse(503, json::object()));
         return;
     }
     std::erase_if(m_delays, [](const auto& delay) { return !delay; });
     m_delays.push_back(std::make_unique<Delay>(m_context));
     m_delays.back()->start(fault == StoreFault::Slow ? slowDelay : usualDelay, [this, host, request, responder] { answer(host, request, responder); });
-    constexpr std::size_t mostDelays = 4096;
-    if (m_delays.size() > mostDelays)
-        m_delays.erase(m_delays.begin(), m_delays.begin() + mostDelays / 2);
+    constexpr std::size_t maxDelays = 4096;
+    if (m_delays.size() > maxDelays)
+        m_delays.erase(m_delays.begin(), m_delays.begin() + maxDelays / 2);
 }
 
 void StoreStandIn::answer(const std::string& host, const HttpRequest& request, const std::shared_ptr<HttpResponder>& responder)
@@ -90,22 +90,22 @@
     const StoreFault fault = faultOf(host);
     if (request.method == "GET") {
         if (fault == StoreFault::Silent)
-            m_waiting.push_back({ .responder = responder, .host = host, .kind = "(silent)", .since = 0 });
+            m_pendingRequests.push_back({ .responder = responder, .host = host, .kind = "(silent)", .since = 0 });
         else
             answerRead(host, request, target.kind, target.name, responder);
         return;
     }
     const bool isLost = fault == StoreFault::Lost && m_random() % 3 == 0;
     if (fault == StoreFault::Silent) {
-        m_waiting.push_back({ .responder = responder, .host = host, .kind = "(silent)", .since = 0 });
+        m_pendingRequests.push_back({ .responder = responder, .host = host, .kind = "(silent)", .since = 0 });
         return;
     }
     const HttpResponse response = applyWrite(request, target.kind, target.name);
     if (isLost)
-        m_waiting.push_back({ .responder = responder, .host = host, .kind = "(lost)", .since = 0 });
+        m_pendingRequests.push_back({ .responder = responder, .host = host, .kind = "(lost)", .since = 0 });
     else
         responder->respond(response);
-    wake();
+    answerPending();
 }
 
 void StoreStandIn::answerRead(const std::string& host, const HttpRequest& request, const std::string& kind, const std::string& name, const std::shared_ptr<HttpResponder>& responder)
@@ -113,7 +113,7 @@
     if (!name.empty()) {
         const auto& objects = m_objects[kind];
         const auto found = objects.find(name);
-        responder->respond(found == objects.end() ? reply(404, json::object()) : reply(200, found->second));
+        responder->respond(found == objects.end() ? jsonResponse(404, json::object()) : jsonResponse(200, found->second));
         return;
     }
     const std::string watch = queryValue(request.target, "watch");
@@ -121,15 +121,15 @@
         json items = json::array();
         for (const auto& [objectName, object] : m_objects[kind])
             items.push_back(object);
-        responder->respond(reply(200, { { "items", items }, { "has-more", false }, { "as-of", m_revision } }));
+        responder->respond(jsonResponse(200, { { "items", items }, { "has-more", false }, { "as-of", m_revision } }));
         return;
     }
     const std::uint64_t since = std::stoull(watch);
     if (since < m_historyFrom)
-        responder->respond(reply(410, json::object()));
+        responder->respond(jsonResponse(410, json::object()));
     else
-        m_waiting.push_back({ .responder = responder, .host = host, .kind = kind, .since = since });
-    wake();
+        m_pendingRequests.push_back({ .responder = responder, .host = host, .kind = kind, .since = since });
+    answerPending();
 }
 
 HttpResponse StoreStandIn::applyWrite(const HttpRequest& request, const std::string& kind, std::string name)
@@ -140,18 +140,18 @@
     auto& objects = m_objects[kind];
     const auto found = objects.find(name);
     if (request.method == "POST")
-        return found != objects.end() ? reply(409, found->second) : reply(200, store(kind, name, body.at("spec")));
+        return found != objects.end() ? jsonResponse(409, found->second) : jsonResponse(200, store(kind, name, body.at("spec")));
     if (found == objects.end())
-        return reply(404, json::object());
-    const std::uint64_t held = found->second.at("meta").at("revision").get<std::uint64_t>();
-    const std::string condition = request.method == "DELETE" ? queryValue(request.target, "revision") : std::to_string(body.at("meta").value("revision", held));
-    if (!condition.empty() && std::stoull(condition) != held)
-        return reply(409, found->second);
+        return jsonResponse(404, json::object());
+    const std::uint64_t storedRevision = found->second.at("meta").at("revision").get<std::uint64_t>();
+    const std::string condition = request.method == "DELETE" ? queryValue(request.target, "revision") : std::to_string(body.at("meta").value("revision", storedRevision));
+    if (!condition.empty() && std::stoull(condition) != storedRevision)
+        return jsonResponse(409, found->second);
     if (request.method == "PUT")
-        return reply(200, store(kind, name, body.at("spec")));
+        return jsonResponse(200, store(kind, name, body.at("spec")));
     json removed = found->second;
     remove(kind, name);
-    return reply(200, removed);
+    return jsonResponse(200, removed);
 }
 
 json StoreStandIn::store(const std::string& kind, const std::string& name, const json& spec)
@@ -165,7 +165,7 @@
 std::uint64_t StoreStandIn::write(const std::string& kind, const std::string& name, const json& spec)
 {
     store(kind, name, spec);
-    wake();
+    answerPending();
     return m_revision;
 }
 
@@ -175,7 +175,7 @@
     object["meta"]["revision"] = ++m_revision;
     m_objects[kind].erase(name);
     m_events.push_back({ .revision = m_revision, .kind = kind, .isDeleted = true, .object = object });
-    wake();
+    answerPending();
 }
 
 json StoreStandIn::eventsSince(const std::string& kind, std::uint64_t since) const
@@ -188,18 +188,18 @@
     return events;
 }
 
-void StoreStandIn::wake()
+void StoreStandIn::answerPending()
 {
-    std::erase_if(m_waiting, [this](const Waiting& waiting) {
-        if (!waiting.responder->isOpen())
+    std::erase_if(m_pendingRequests, [this](const PendingRequest& pending) {
+        if (!pending.responder->isOpen())
             return true;
-        const StoreFault fault = faultOf(waiting.host);
-        if (waiting.kind.starts_with("(") || fault == StoreFault::Silent)
+        const StoreFault fault = faultOf(pending.host);
+        if (pending.kind.starts_with("(") || fault == StoreFault::Silent)
             return false;
-        const json events = eventsSince(waiting.kind, waiting.since);
+        const json events = eventsSince(pending.kind, pending.since);
         if (events.empty())
             return false;
-        waiting.responder->respond(reply(200, { { "events", events }, { "as-of", m_revision } }));
+        pending.responder->respond(jsonResponse(200, { { "events", events }, { "as-of", m_revision } }));
         return true;
     });
 }
--- a/tests/soak/storestandin.h
+++ b/tests/soak/storestandin.h
@@ -34,7 +34,7 @@
     StoreStandIn(asio::io_context& context, std::uint32_t seed);
 
     /// Opens a listening port for one host and returns its number.
-    std::uint16_t openDoor(const std::string& host, const asio::ip::address& address);
+    std::uint16_t openPort(const std::string& host, const asio::ip::address& address);
 
     /// Sets the fault for requests of one host, or of all hosts if the name is empty.
     void setFault(const std::string& host, StoreFault fault);
@@ -46,7 +46,7 @@
     void remove(const std::string& kind, const std::string& name);
 
 private:
-    struct Waiting {
+    struct PendingRequest {
         std::shared_ptr<HttpResponder> responder;
         std::string host;
         std::string kind;
@@ -65,15 +65,15 @@
     HttpResponse applyWrite(const HttpRequest& request, const std::string& kind, std::string name);
     nlohmann::json store(const std::string& kind, const std::string& name, const nlohmann::json& spec);
     nlohmann::json eventsSince(const std::string& kind, std::uint64_t since) const;
-    void wake();
+    void answerPending();
     StoreFault faultOf(const std::string& host) const;
 
     asio::io_context& m_context;
-    std::vector<std::unique_ptr<HttpServer>> m_doors;
+    std::vector<std::unique_ptr<HttpServer>> m_servers;
     std::map<std::string, StoreFault> m_faults;
     std::map<std::string, std::map<std::string, nlohmann::json>> m_objects;
     std::vector<Event> m_events;
-    std::vector<Waiting> m_waiting;
+    std::vector<PendingRequest> m_pendingRequests;
     std::vector<std::unique_ptr<Delay>> m_delays;
     std::uint64_t m_revision = 1;
     std::uint64_t m_historyFrom = 0;
--- a/tests/standins/caller/workload.cpp
+++ b/tests/standins/caller/workload.cpp
@@ -12,7 +12,7 @@
     /// Time for the closes of flows to be sent and the last handlers to run.
     constexpr auto closingTime = std::chrono::milliseconds(300);
 
-    HistoryKind kindOf(CallOutcome outcome)
+    HistoryKind historyKindOf(CallOutcome outcome)
     {
         switch (outcome) {
         case CallOutcome::AnswerWhole:
@@ -31,7 +31,7 @@
     }
 
     template <typename Enum>
-    nlohmann::json countsOf(const EnumCounters<Enum>& counters)
+    nlohmann::json countsToJson(const EnumCounters<Enum>& counters)
     {
         nlohmann::json counts = nlohmann::json::object();
         for (std::size_t index = 0; index < EnumNames<Enum>::names.size(); ++index) {
@@ -42,7 +42,7 @@
     }
 
     /// Whether the receipt in an answer names this request; the answer to another request would name another key.
-    bool isForKey(const std::string& body, const std::string& key)
+    bool receiptNamesKey(const std::string& body, const std::string& key)
     {
         const auto receipt = nlohmann::json::parse(body, nullptr, false);
         return receipt.is_object() && receipt.value("key", "") == key;
@@ -50,26 +50,26 @@
 
 }
 
-Workload::Ticker::Ticker(asio::io_context& context, double perSecond, std::size_t limit, std::function<void()> action)
+Workload::PeriodicAction::PeriodicAction(asio::io_context& context, double perSecond, std::size_t limit, std::function<void()> action)
     : timer(context)
     , next(std::chrono::steady_clock::now())
-    , distance(static_cast<std::int64_t>(1e9 / perSecond))
-    , left(limit)
+    , interval(static_cast<std::int64_t>(1e9 / perSecond))
+    , remaining(limit)
     , act(std::move(action))
 {
     schedule();
 }
 
-void Workload::Ticker::schedule()
+void Workload::PeriodicAction::schedule()
 {
-    if (left == 0)
+    if (remaining == 0)
         return;
-    next += distance;
+    next += interval;
     timer.expires_at(next);
     timer.async_wait([this](asio::error_code error) {
-        if (error || left == 0)
+        if (error || remaining == 0)
             return;
-        --left;
+        --remaining;
         act();
         schedule();
     });
@@ -90,16 +90,16 @@
     , m_timer(context)
 {
     for (std::size_t index = 0; index < options.flows; ++index)
-        holdFlow();
+        openHeldFlow();
     for (std::size_t index = 0; index < options.feeds; ++index)
         startFeed();
     const double seconds = static_cast<double>(options.duration) / 1000;
-    const auto addTicker = [this](double perSecond, std::size_t limit, std::function<void()> act) {
+    const auto addPeriodicAction = [this](double perSecond, std::size_t limit, std::function<void()> act) {
         if (perSecond > 0)
-            m_tickers.push_back(std::make_unique<Ticker>(m_context, perSecond, limit, std::move(act)));
+            m_periodicActions.push_back(std::make_unique<PeriodicAction>(m_context, perSecond, limit, std::move(act)));
     };
-    addTicker(options.queriesPerSecond, SIZE_MAX, [this] { sendQuery(); });
-    addTicker(static_cast<double>(options.filings + 1) / seconds, options.filings, [this] { sendFiling(); });
+    addPeriodicAction(options.queriesPerSecond, SIZE_MAX, [this] { sendQuery(); });
+    addPeriodicAction(static_cast<double>(options.filings + 1) / seconds, options.filings, [this] { sendFiling(); });
     m_timer.expires_after(std::chrono::milliseconds(options.duration));
     m_timer.async_wait([this](asio::error_code error) {
         if (!error)
@@ -107,7 +107,7 @@
     });
 }
 
-void Workload::holdFlow()
+void Workload::openHeldFlow()
 {
     m_flows.push_back(m_caller.openFlow(m_options.service));
 }
@@ -119,7 +119,7 @@
     CallSpec spec { .service = m_options.service, .flow = flow, .deadline = m_options.filingDeadline, .request = { .target = "/feed", .key = feed->key, .stream = true } };
     auto id = std::make_shared<CallId>();
     *id = call(
-        std::move(spec), [this, feed](std::string_view bytes) { takeFeedBytes(*feed, bytes); },
+        std::move(spec), [this, feed](std::string_view bytes) { parseFeedItems(*feed, bytes); },
         [this, flow, id](const CallResult&) {
             m_feedCalls.erase(*id);
             m_caller.closeFlow(flow);
@@ -132,7 +132,7 @@
     m_feedCalls[*id] = true;
 }
 
-void Workload::takeFeedBytes(Feed& feed, std::string_view bytes)
+void Workload::parseFeedItems(Feed& feed, std::string_view bytes)
 {
     feed.partial.append(bytes);
     for (std::size_t end = feed.partial.find('\n'); end != std::string::npos; end = feed.partial.find('\n')) {
@@ -163,10 +163,10 @@
     event.bodyHash = bodyHashOf(spec.request.body);
     record(event);
     event.bodyHash = 0;
-    ++m_callsUnderWay;
+    ++m_callsInProgress;
     return m_caller.call(std::move(spec),
         { .onDone = [this, event, onDone = std::move(onDone)](const CallResult& result) {
-             --m_callsUnderWay;
+             --m_callsInProgress;
              recordResult(event, result);
              if (onDone)
                  onDone(result); },
@@ -179,13 +179,13 @@
     m_finalReasons.increment(result.reason);
     if (result.outcome == CallOutcome::AnswerWhole)
         m_latency.record(static_cast<double>(result.elapsed));
-    event.kind = kindOf(result.outcome);
+    event.kind = historyKindOf(result.outcome);
     event.reason = result.reason;
     event.detail = "tries=" + std::to_string(result.tries);
     if (result.outcome == CallOutcome::AnswerWhole) {
         event.bodyHash = bodyHashOf(result.body);
-        if (!isForKey(result.body, event.key)) {
-            ++m_answersForeign;
+        if (!receiptNamesKey(result.body, event.key)) {
+            ++m_foreignAnswers;
             event.detail = "status=" + std::to_string(result.status) + " foreign answer: " + result.body;
         }
     }
@@ -199,7 +199,7 @@
     if (held != m_flows.end()) {
         m_flows.erase(held);
         if (!m_finishing)
-            holdFlow();
+            openHeldFlow();
     }
     if (!wasOpen)
         return;
@@ -217,8 +217,8 @@
     if (std::exchange(m_finishing, true))
         return;
     // The objects are not destroyed here, because the handler of a timer that has already expired still runs.
-    for (const auto& ticker : m_tickers)
-        ticker->left = 0;
+    for (const auto& periodicAction : m_periodicActions)
+        periodicAction->remaining = 0;
     for (const auto& [id, isOpen] : std::map<CallId, bool>(m_feedCalls))
         m_caller.cancel(id);
     awaitCalls();
@@ -226,7 +226,7 @@
 
 void Workload::awaitCalls()
 {
-    const bool isDone = m_callsUnderWay == 0;
+    const bool isDone = m_callsInProgress == 0;
     if (isDone)
         m_caller.shutDown();
     m_timer.expires_after(isDone ? closingTime : pollInterval);
@@ -248,14 +248,14 @@
         { "calls", counters.calls },
         { "tries", counters.tries },
         { "feedItems", m_feedItems },
-        { "foreignAnswers", m_answersForeign },
+        { "foreignAnswers", m_foreignAnswers },
         { "lateAnswers", counters.lateAnswers },
-        { "outcomes", countsOf(m_outcomes) },
-        { "finalReasons", countsOf(m_finalReasons) },
-        { "flowEnds", countsOf(counters.flowEnds) },
-        { "refusals", countsOf(counters.refusals) },
-        { "retries", countsOf(counters.retries) },
-        { "answerFaults", countsOf(counters.answerFaults) },
+        { "outcomes", countsToJson(m_outcomes) },
+        { "finalReasons", countsToJson(m_finalReasons) },
+        { "flowEnds", countsToJson(counters.flowEnds) },
+        { "refusals", countsToJson(counters.refusals) },
+        { "retries", countsToJson(counters.retries) },
+        { "answerFaults", countsToJson(counters.answerFaults) },
         { "latencyP50", m_latency.percentile(0.5) },
         { "latencyP99", m_latency.percentile(0.99) },
     }
--- a/tests/standins/caller/workload.h
+++ b/tests/standins/caller/workload.h
@@ -45,20 +45,20 @@
     };
 
     /// Calls `act` at regular intervals, at most `limit` times.
-    struct Ticker {
-        Ticker(asio::io_context& context, double perSecond, std::size_t limit, std::function<void()> act);
+    struct PeriodicAction {
+        PeriodicAction(asio::io_context& context, double perSecond, std::size_t limit, std::function<void()> act);
         void schedule();
 
         asio::steady_timer timer;
         std::chrono::steady_clock::time_point next;
-        std::chrono::nanoseconds distance;
-        std::size_t left;
+        std::chrono::nanoseconds interval;
+        std::size_t remaining;
         std::function<void()> act;
     };
 
-    void holdFlow();
+    void openHeldFlow();
     void startFeed();
-    void takeFeedBytes(Feed& feed, std::string_view bytes);
+    void parseFeedItems(Feed& feed, std::string_view bytes);
     void sendQuery();
     void sendFiling();
     CallId call(CallSpec spec, std::function<void(std::string_view)> onChunk, std::function<void(const CallResult&)> onDone);
@@ -74,16 +74,16 @@
     std::string m_name;
     std::mt19937_64 m_random;
     Caller m_caller;
-    std::vector<std::unique_ptr<Ticker>> m_tickers;
+    std::vector<std::unique_ptr<PeriodicAction>> m_periodicActions;
     asio::steady_timer m_timer;
     std::vector<FlowId> m_flows;
     std::map<FlowId, bool> m_opened;
     std::map<CallId, bool> m_feedCalls;
-    std::size_t m_callsUnderWay = 0;
+    std::size_t m_callsInProgress = 0;
     std::uint64_t m_nextKey = 1;
     std::uint64_t m_feedItems = 0;
     std::uint64_t m_flowsOpened = 0;
-    std::uint64_t m_answersForeign = 0;
+    std::uint64_t m_foreignAnswers = 0;
     EnumCounters<CallOutcome> m_outcomes;
     EnumCounters<RefusalReason> m_finalReasons;
     LatencyHistogram m_latency;
--- a/tests/standins/fabric/fabric.cpp
+++ b/tests/standins/fabric/fabric.cpp
@@ -7,9 +7,9 @@
     constexpr Millis tickInterval = 50;
     constexpr Millis dialTimeout = 1000;
     /// Number of heartbeats that a balancer may miss, at the interval that it announces.
-    constexpr Millis missedHeartbeats = 5;
+    constexpr Millis maxMissedHeartbeats = 5;
 
-    Bytes hello()
+    Bytes encodeHello()
     {
         wire::HelloT body;
         body.protocol = protocolVersion;
@@ -50,7 +50,7 @@
         auto link = std::make_shared<Link>(std::move(socket), m_linkOptions);
         m_callers[link.get()] = { .link = link };
         link->start({
-            .onFrame = [this](Link& from, const wire::Frame& frame, Raw raw) { handleCallerFrame(from, frame, raw); },
+            .onFrame = [this](Link& from, const wire::Frame& frame, FrameBytes raw) { handleCallerFrame(from, frame, raw); },
             .onClosed = [this](Link& from, LinkError) {
                 const std::uint64_t source = m_callers[&from].source;
                 if (const auto found = m_bySource.find(source); found != m_bySource.end() && found->second == &from)
@@ -68,18 +68,18 @@
         if (error)
             return;
         m_now += tickInterval;
-        const bool beats = m_now >= m_beatAt;
-        if (beats)
-            m_beatAt = m_now + m_options.heartbeat;
+        const bool isHeartbeatDue = m_now >= m_nextHeartbeatAt;
+        if (isHeartbeatDue)
+            m_nextHeartbeatAt = m_now + m_options.heartbeat;
         for (std::size_t index = 0; index < m_balancers.size(); ++index) {
             Balancer& balancer = *m_balancers[index];
             if (!balancer.link && !balancer.dialing && m_now >= balancer.redialAt)
                 dial(index);
-            if (beats && balancer.link && !m_faults.isSilent(index))
+            if (isHeartbeatDue && balancer.link && !m_faults.isSilent(index))
                 balancer.link->send(encodeFrameOf(wire::HeartbeatT {}));
         }
         for (const auto& [link, caller] : m_callers) {
-            if (beats)
+            if (isHeartbeatDue)
                 caller.link->send(encodeFrameOf(wire::HeartbeatT {}));
         }
         tick();
@@ -98,14 +98,14 @@
             return;
         dialed.link = std::move(link);
         dialed.link->start({
-            .onFrame = [this, index](Link&, const wire::Frame& frame, Raw raw) { handleBalancerFrame(index, frame, raw); },
-            .onClosed = [this, index](Link&, LinkError) { lose(index); },
+            .onFrame = [this, index](Link&, const wire::Frame& frame, FrameBytes raw) { handleBalancerFrame(index, frame, raw); },
+            .onClosed = [this, index](Link&, LinkError) { handleBalancerLost(index); },
         });
-        dialed.link->send(hello());
+        dialed.link->send(encodeHello());
     });
 }
 
-void Fabric::lose(std::size_t index)
+void Fabric::handleBalancerLost(std::size_t index)
 {
     Balancer& balancer = *m_balancers[index];
     balancer.link.reset();
@@ -113,41 +113,41 @@
     balancer.redialAt = m_now + m_options.redialAfter;
 }
 
-void Fabric::handleBalancerFrame(std::size_t index, const wire::Frame& frame, Raw raw)
+void Fabric::handleBalancerFrame(std::size_t index, const wire::Frame& frame, FrameBytes raw)
 {
     if (m_faults.isSilent(index))
         return;
     Balancer& balancer = *m_balancers[index];
     if (frame.body_as_Hello())
         balancer.ready = true;
-    if (const auto* beat = frame.body_as_Heartbeat())
-        balancer.link->setSilenceLimit(std::max<Millis>(m_options.linkSilence, missedHeartbeats * beat->interval()));
+    if (const auto* heartbeatFrame = frame.body_as_Heartbeat())
+        balancer.link->setSilenceLimit(std::max<Millis>(m_options.linkSilence, maxMissedHeartbeats * heartbeatFrame->interval()));
     if (frame.body_as_Goodbye()) {
         balancer.link->close(true);
-        lose(index);
+        handleBalancerLost(index);
         return;
     }
     if (const auto* packet = frame.body_as_Packet()) {
-        send(packet->flow(), raw, [this, source = packet->source()](Bytes copy) { toCaller(source, std::move(copy)); });
+        send(packet->flow(), raw, [this, source = packet->source()](Bytes copy) { sendToCaller(source, std::move(copy)); });
     }
 }
 
-void Fabric::handleCallerFrame(Link& link, const wire::Frame& frame, Raw raw)
+void Fabric::handleCallerFrame(Link& link, const wire::Frame& frame, FrameBytes raw)
 {
     if (const auto* caller = frame.body_as_Hello()) {
         m_callers[&link].source = caller->source();
         m_bySource[caller->source()] = &link;
-        link.send(hello());
+        link.send(encodeHello());
     }
     if (const auto* packet = frame.body_as_Packet())
-        send(packet->flow(), raw, [this](Bytes copy) { toBalancer(std::move(copy)); });
+        send(packet->flow(), raw, [this](Bytes copy) { sendToBalancer(std::move(copy)); });
 }
 
-void Fabric::send(FlowId flow, Raw raw, const std::function<void(Bytes)>& deliver)
+void Fabric::send(FlowId flow, FrameBytes raw, const std::function<void(Bytes)>& deliver)
 {
-    const auto copies = m_faults.copies(flow);
-    m_counts.lost += copies.empty() ? 1 : 0;
-    for (const Millis wait : copies) {
+    const auto copyDelays = m_faults.copyDelays(flow);
+    m_counts.lost += copyDelays.empty() ? 1 : 0;
+    for (const Millis wait : copyDelays) {
         if (wait == 0) {
             deliver(Bytes(raw.begin(), raw.end()));
             continue;
@@ -160,7 +160,7 @@
     }
 }
 
-void Fabric::toBalancer(Bytes frame)
+void Fabric::sendToBalancer(Bytes frame)
 {
     std::vector<std::size_t> ready;
     for (std::size_t index = 0; index < m_balancers.size(); ++index) {
@@ -171,13 +171,13 @@
         ++m_counts.noBalancer;
         return;
     }
-    const std::size_t chosen = ready[m_faults.pick(ready.size())];
+    const std::size_t chosen = ready[m_faults.pickIndex(ready.size())];
     ++m_counts.toBalancers;
     if (!m_faults.isSilent(chosen))
         m_balancers[chosen]->link->sendDroppable(std::move(frame));
 }
 
-void Fabric::toCaller(std::uint64_t source, Bytes frame)
+void Fabric::sendToCaller(std::uint64_t source, Bytes frame)
 {
     const auto found = m_bySource.find(source);
     if (found == m_bySource.end()) {
--- a/tests/standins/fabric/fabric.h
+++ b/tests/standins/fabric/fabric.h
@@ -57,17 +57,17 @@
         std::uint64_t source = 0;
     };
 
-    using Raw = std::span<const std::uint8_t>;
+    using FrameBytes = std::span<const std::uint8_t>;
 
     void accept();
     void tick();
     void dial(std::size_t index);
-    void handleBalancerFrame(std::size_t index, const wire::Frame& frame, Raw raw);
-    void handleCallerFrame(Link& link, const wire::Frame& frame, Raw raw);
-    void lose(std::size_t index);
-    void send(FlowId flow, Raw raw, const std::function<void(Bytes)>& deliver);
-    void toBalancer(Bytes frame);
-    void toCaller(std::uint64_t source, Bytes frame);
+    void handleBalancerFrame(std::size_t index, const wire::Frame& frame, FrameBytes raw);
+    void handleCallerFrame(Link& link, const wire::Frame& frame, FrameBytes raw);
+    void handleBalancerLost(std::size_t index);
+    void send(FlowId flow, FrameBytes raw, const std::function<void(Bytes)>& deliver);
+    void sendToBalancer(Bytes frame);
+    void sendToCaller(std::uint64_t source, Bytes frame);
 
     asio::io_context& m_context;
     FabricOptions m_options;
@@ -80,7 +80,7 @@
     std::map<std::uint64_t, Link*> m_bySource;
     FabricCounts m_counts;
     Millis m_now = 0;
-    Millis m_beatAt = 0;
+    Millis m_nextHeartbeatAt = 0;
 };
 
 }
--- a/tests/standins/fabric/packetfaults.cpp
+++ b/tests/standins/fabric/packetfaults.cpp
@@ -31,20 +31,20 @@
 void PacketFaults::apply(const FaultOptions& options)
 {
     m_options = options;
-    m_lost.clear();
+    m_droppedFlows.clear();
     if (options.loseSeenFlows)
-        m_lost = m_seen;
+        m_droppedFlows = m_seenFlows;
 }
 
-std::vector<Millis> PacketFaults::copies(FlowId flow)
+std::vector<Millis> PacketFaults::copyDelays(FlowId flow)
 {
-    m_seen.insert(flow);
-    if (m_lost.contains(flow) || happens(m_options.drop))
+    m_seenFlows.insert(flow);
+    if (m_droppedFlows.contains(flow) || occurs(m_options.drop))
         return {};
-    std::vector<Millis> copies { wait() };
-    if (happens(m_options.duplicate))
-        copies.push_back(wait());
-    return copies;
+    std::vector<Millis> copyDelays { randomDelay() };
+    if (occurs(m_options.duplicate))
+        copyDelays.push_back(randomDelay());
+    return copyDelays;
 }
 
 bool PacketFaults::isSilent(std::size_t balancer) const
--- a/tests/standins/fabric/packetfaults.h
+++ b/tests/standins/fabric/packetfaults.h
@@ -33,19 +33,19 @@
     void apply(const FaultOptions& options);
 
     /// The delay of each copy of the next packet of this flow, in milliseconds; empty when the packet is dropped.
-    std::vector<Millis> copies(FlowId flow);
+    std::vector<Millis> copyDelays(FlowId flow);
 
     bool isSilent(std::size_t balancer) const;
-    std::size_t pick(std::size_t count) { return std::uniform_int_distribution<std::size_t>(0, count - 1)(m_random); }
+    std::size_t pickIndex(std::size_t count) { return std::uniform_int_distribution<std::size_t>(0, count - 1)(m_random); }
 
 private:
-    bool happens(double rate) { return rate > 0 && std::uniform_real_distribution<>(0, 1)(m_random) < rate; }
-    Millis wait() { return m_options.delay > 0 ? std::uniform_int_distribution<Millis>(0, m_options.delay)(m_random) : 0; }
+    bool occurs(double rate) { return rate > 0 && std::uniform_real_distribution<>(0, 1)(m_random) < rate; }
+    Millis randomDelay() { return m_options.delay > 0 ? std::uniform_int_distribution<Millis>(0, m_options.delay)(m_random) : 0; }
 
     FaultOptions m_options;
     std::mt19937_64 m_random;
-    std::unordered_set<FlowId> m_seen;
-    std::unordered_set<FlowId> m_lost;
+    std::unordered_set<FlowId> m_seenFlows;
+    std::unordered_set<FlowId> m_droppedFlows;
 };
 
 }
--- a/tests/standins/platform/objectstore.cpp
+++ b/tests/standins/platform/objectstore.cpp
@@ -27,7 +27,7 @@
     const ObjectVersion present = found == known.objects.end() ? 0 : found->second.version;
     if (present != ifVersion)
         return { .error = PlatformError::Conflict, .version = present };
-    note(known, name);
+    recordChange(known, name);
     known.objects.insert_or_assign(name, PlatformObject { .name = name, .version = m_version, .value = std::move(value) });
     return { .version = m_version };
 }
@@ -40,7 +40,7 @@
         return { .error = PlatformError::NotFound };
     if (found->second.version != ifVersion)
         return { .error = PlatformError::Conflict, .version = found->second.version };
-    note(known, name);
+    recordChange(known, name);
     known.objects.erase(found);
     return { .version = m_version };
 }
@@ -48,7 +48,7 @@
 std::optional<ObjectList> ObjectStore::changesSince(const std::string& kind, ObjectVersion since) const
 {
     const Kind* found = findKind(kind);
-    if (since > m_version || (found && since < found->forgotten))
+    if (since > m_version || (found && since < found->lastDiscarded))
         return std::nullopt;
     ObjectList list { .version = m_version, .objects = {} };
     std::set<std::string> seen;
@@ -67,11 +67,11 @@
     return found == m_kinds.end() ? nullptr : &found->second;
 }
 
-void ObjectStore::note(Kind& kind, const std::string& name)
+void ObjectStore::recordChange(Kind& kind, const std::string& name)
 {
     kind.changes.push_back({ .version = ++m_version, .name = name });
     if (kind.changes.size() > m_keptChanges) {
-        kind.forgotten = kind.changes.front().version;
+        kind.lastDiscarded = kind.changes.front().version;
         kind.changes.pop_front();
     }
 }
--- a/tests/standins/platform/objectstore.h
+++ b/tests/standins/platform/objectstore.h
@@ -44,11 +44,11 @@
         std::map<std::string, PlatformObject> objects;
         std::deque<Change> changes;
         /// Version of the last change that was discarded.
-        ObjectVersion forgotten = 0;
+        ObjectVersion lastDiscarded = 0;
     };
 
     const Kind* findKind(const std::string& kind) const;
-    void note(Kind& kind, const std::string& name);
+    void recordChange(Kind& kind, const std::string& name);
 
     std::size_t m_keptChanges;
     std::map<std::string, Kind> m_kinds;
--- a/tests/standins/platform/platformserver.cpp
+++ b/tests/standins/platform/platformserver.cpp
@@ -13,7 +13,7 @@
     constexpr std::size_t maxValueBytes = std::size_t { 1024 } * 1024;
     constexpr Millis maxWatchWait = 60000;
 
-    std::uint64_t numberOf(const std::string& text)
+    std::uint64_t parseNumber(const std::string& text)
     {
         return std::strtoull(text.c_str(), nullptr, 10);
     }
@@ -73,7 +73,7 @@
 PlatformServer::~PlatformServer()
 {
     dropWatches();
-    m_hanging.clear();
+    m_unansweredCalls.clear();
 }
 
 PlatformCalls PlatformServer::calls() const
@@ -86,7 +86,7 @@
 void PlatformServer::setFaults(const PlatformFaults& faults)
 {
     m_faults = faults;
-    m_hanging.clear();
+    m_unansweredCalls.clear();
     if (faults.down && faults.downFor.empty())
         dropWatches();
 }
@@ -106,11 +106,11 @@
     if (call->parts.size() == 1)
         handleControl(*call);
     else if (isDown && m_faults.hang)
-        m_hanging.push_back(responder);
+        m_unansweredCalls.push_back(responder);
     else if (isDown)
         responder->abort();
     else if (isSlow)
-        handleLater(std::move(call));
+        handleDelayed(std::move(call));
     else
         perform(*call);
 }
@@ -139,7 +139,7 @@
     call.responder->respond({ .status = 200, .headers = {}, .body = "{}" });
 }
 
-void PlatformServer::handleLater(std::shared_ptr<Call> call)
+void PlatformServer::handleDelayed(std::shared_ptr<Call> call)
 {
     const auto delay = std::make_shared<Delay>(m_context);
     m_delays.insert(delay);
@@ -166,7 +166,7 @@
 {
     const std::string& kind = call.parts[1];
     const std::string& name = call.parts[2];
-    const ObjectVersion ifVersion = numberOf(queryValue(call.request.target, "ifVersion"));
+    const ObjectVersion ifVersion = parseNumber(queryValue(call.request.target, "ifVersion"));
     if (call.request.method == "GET") {
         const auto object = m_store.get(kind, name);
         answer(call, object ? 200 : 404, object ? serialise(*object) : "{}");
@@ -185,12 +185,12 @@
 void PlatformServer::answerWrite(const Call& call, const StoreResult& result)
 {
     const bool isDone = result.error == PlatformError::None;
-    const int refusal = result.error == PlatformError::Conflict ? 409 : 404;
+    const int errorStatus = result.error == PlatformError::Conflict ? 409 : 404;
     if (isDone && m_faults.loseAnswers > 0) {
         --m_faults.loseAnswers;
         answer(call, 0, versionBody(result.version));
     } else {
-        answer(call, isDone ? 200 : refusal, versionBody(result.version));
+        answer(call, isDone ? 200 : errorStatus, versionBody(result.version));
     }
     if (isDone)
         wakeWatches(call.parts[1]);
@@ -220,13 +220,13 @@
 
 void PlatformServer::performWatch(const Call& call)
 {
-    const ObjectVersion since = numberOf(queryValue(call.request.target, "since"));
+    const ObjectVersion since = parseNumber(queryValue(call.request.target, "since"));
     const auto changes = m_store.changesSince(call.parts[1], since);
     if (!changes || !changes->objects.empty()) {
         answer(call, changes ? 200 : 410, changes ? serialise(*changes) : "{}");
         return;
     }
-    const Millis wait = std::min<Millis>(maxWatchWait, static_cast<Millis>(numberOf(queryValue(call.request.target, "wait"))));
+    const Millis wait = std::min<Millis>(maxWatchWait, static_cast<Millis>(parseNumber(queryValue(call.request.target, "wait"))));
     m_watches.push_back({ .kind = call.parts[1], .since = since, .responder = call.responder, .limit = std::make_unique<Delay>(m_context) });
     const auto place = std::prev(m_watches.end());
     place->limit->start(wait, [this, place] {
--- a/tests/standins/platform/platformserver.h
+++ b/tests/standins/platform/platformserver.h
@@ -55,7 +55,7 @@
 
     void handle(HttpRequest request, const std::shared_ptr<HttpResponder>& responder);
     void handleControl(const Call& call);
-    void handleLater(std::shared_ptr<Call> call);
+    void handleDelayed(std::shared_ptr<Call> call);
     void perform(const Call& call);
     void performObject(const Call& call);
     void performWatch(const Call& call);
@@ -71,7 +71,7 @@
     PlatformCalls m_calls;
     std::list<Watch> m_watches;
     std::set<std::shared_ptr<Delay>> m_delays;
-    std::vector<std::shared_ptr<HttpResponder>> m_hanging;
+    std::vector<std::shared_ptr<HttpResponder>> m_unansweredCalls;
     std::unique_ptr<HttpServer> m_server;
 };
 
--- a/tests/standins/upstream/main.cpp
+++ b/tests/standins/upstream/main.cpp
@@ -29,7 +29,7 @@
         .dataCentre = absl::GetFlag(FLAGS_data_centre),
         .slots = absl::GetFlag(FLAGS_slots),
         .coldFor = absl::GetFlag(FLAGS_cold_for_ms),
-        .coldBears = absl::GetFlag(FLAGS_cold_bears),
+        .coldConcurrency = absl::GetFlag(FLAGS_cold_bears),
         .feedInterval = absl::GetFlag(FLAGS_feed_ms),
         .queryTime = absl::GetFlag(FLAGS_query_ms),
         .filingTime = absl::GetFlag(FLAGS_filing_ms),
--- a/tests/standins/upstream/upstream.cpp
+++ b/tests/standins/upstream/upstream.cpp
@@ -91,10 +91,10 @@
 {
     if (!responder->isOpen())
         return;
-    const std::string wanted(headerValue(request.headers, serviceHeader));
-    if (!wanted.empty() && wanted != m_options.service) {
+    const std::string requestedService(headerValue(request.headers, serviceHeader));
+    if (!requestedService.empty() && requestedService != m_options.service) {
         HistoryEvent misrouted = event(HistoryKind::UpstreamPacket, request);
-        misrouted.service = wanted;
+        misrouted.service = requestedService;
         record(std::move(misrouted));
     }
     if (m_behaviour.sheds) {
@@ -168,11 +168,11 @@
 
 std::uint32_t Upstream::bearable() const
 {
-    const Millis warm = std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::steady_clock::now() - m_coldSince).count();
-    if (warm >= m_options.coldFor || m_options.coldBears >= m_options.slots)
+    const Millis elapsed = std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::steady_clock::now() - m_coldSince).count();
+    if (elapsed >= m_options.coldFor || m_options.coldConcurrency >= m_options.slots)
         return m_options.slots;
-    const auto grown = static_cast<std::uint32_t>((m_options.slots - m_options.coldBears) * warm / m_options.coldFor);
-    return m_options.coldBears + grown;
+    const auto grown = static_cast<std::uint32_t>((m_options.slots - m_options.coldConcurrency) * elapsed / m_options.coldFor);
+    return m_options.coldConcurrency + grown;
 }
 
 HistoryEvent Upstream::event(HistoryKind kind, const HttpRequest& request) const
--- a/tests/standins/upstream/upstream.h
+++ b/tests/standins/upstream/upstream.h
@@ -19,7 +19,7 @@
     /// Length of a cold start, and how many requests the upstream can serve at once at its beginning; the number grows
     /// linearly until the end.
     Millis coldFor = 0;
-    std::uint32_t coldBears = 1;
+    std::uint32_t coldConcurrency = 1;
     Millis feedInterval = 500;
     Millis queryTime = 10;
     Millis filingTime = 100;
