--- a/src/kingcuptraild/agent/requestscheduler.cpp
+++ b/src/kingcuptraild/agent/requestscheduler.cpp
@@ -282,7 +282,7 @@
         refuse(request, { Ran::Unknown, isTimeout ? RefusalReason::UpstreamTimeout : RefusalReason::UpstreamLost, 0 });
 }
 
-// An empty chunk tells the caller that the upstream ended the feed regularly, as opposed to a lost connection.
+// An empty chunk marks the regular end of the feed by the upstream, as opposed to a lost connection.
 void RequestScheduler::endStream(const RequestPtr& request)
 {
     m_metrics.ends.increment(RequestEnd::StreamEnded);
--- a/src/kingcuptraild/packets/agentannouncement.h
+++ b/src/kingcuptraild/packets/agentannouncement.h
@@ -56,8 +56,8 @@
     ObjectVersion m_version = 0;
     bool m_isBusy = false;
     bool m_isWritten = false;
-    /// Stale reads are no longer followed by a second one: that one is already scheduled, or this process has removed the
-    /// entry itself and a stale read could still show it.
+    /// A stale read is no longer followed by a second read: the second read is already scheduled, or this process has
+    /// removed the entry itself and a stale read could still return it.
     bool m_isStaleReadDone = false;
 };
 
--- a/src/kingcuptraild/packets/flowholders.h
+++ b/src/kingcuptraild/packets/flowholders.h
@@ -33,10 +33,10 @@
     Millis usedAt = 0;
 };
 
-/// A question to one agent, the delegate, that answers on behalf of all agents of its data centre.
+/// A query to one agent, the delegate, which answers on behalf of all agents of its data centre.
 struct DelegateQuery {
     std::uint32_t address = 0;
-    /// The agents that its answer covers. An agent that became known after the question is not among them.
+    /// The agents that its answer covers. An agent that became known after the query is not among them.
     std::vector<std::uint32_t> members;
 };
 
@@ -44,7 +44,7 @@
 struct PendingSearch {
     HolderSearch search;
     std::vector<PacketBytes> packets;
-    /// Questions to delegates that are still unanswered.
+    /// Queries to delegates that are still unanswered.
     std::vector<DelegateQuery> delegateQueries;
     /// All agents that were asked, directly or through another agent.
     AgentsByDataCentre asked;
--- a/src/kingcuptraild/packets/flowlearning.h
+++ b/src/kingcuptraild/packets/flowlearning.h
@@ -28,8 +28,7 @@
     /// Records that a packet of this flow is being delivered to the upstream.
     void beginCheck(const FlowKey& flow, const PendingFlowCheck& check);
 
-    /// Removes and yields the pending check of a flow, if there is one: the upstream has answered or returned the
-    /// packet.
+    /// Removes and returns the pending check of a flow, if there is one: the upstream has answered or returned the packet.
     std::optional<PendingFlowCheck> finishCheck(const FlowKey& flow);
 
 private:
--- a/src/kingcuptraild/packets/holderfinder.cpp
+++ b/src/kingcuptraild/packets/holderfinder.cpp
@@ -117,7 +117,7 @@
 }
 
 // The agents of a data centre that have not answered for so long that searches no longer wait for them. They are excluded from
-// the question, so that the delegate does not wait for them either.
+// the query, so that the delegate does not wait for them either.
 std::vector<std::uint32_t> HolderFinder::agentsPresumedGoneIn(const std::string& dataCentre) const
 {
     std::vector<std::uint32_t> agents;
--- a/src/kingcuptraild/packets/neighboursearches.cpp
+++ b/src/kingcuptraild/packets/neighboursearches.cpp
@@ -98,7 +98,7 @@
     sendReply(m_state, balancer, { .kind = wire::PeerKind::UnsureNear, .flow = flow, .excluded = std::move(answer.open), .denied = std::move(answer.denied) });
 }
 
-// The agents that denied the flow and the agents that could not tell or did not answer, including this agent.
+// The agents that denied the flow and the agents that were unsure or did not answer, including this agent.
 DelegatedAnswer NeighbourSearches::summarise(const DelegatedSearch& delegated) const
 {
     DelegatedAnswer answer { .open = agentsWithoutDenial(delegated.search) };
--- a/src/kingcuptraild/packets/neighboursearches.h
+++ b/src/kingcuptraild/packets/neighboursearches.h
@@ -10,7 +10,7 @@
 public:
     explicit NeighbourSearches(AgentState& state);
 
-    /// Handles a balancer's question for the whole data centre. It carries a packet of the flow when agents were unsure
+    /// Handles a balancer's query for the whole data centre. The query carries a packet of the flow if agents were unsure
     /// before.
     void begin(const PeerMessage& message, std::uint32_t sender);
     /// Handles a neighbour's answer.
--- a/src/kingcuptraild/packets/peernetwork.cpp
+++ b/src/kingcuptraild/packets/peernetwork.cpp
@@ -365,7 +365,7 @@
         const auto begin = difference.entries.begin() + static_cast<std::ptrdiff_t>(first);
         sendGossip(sender, { begin, begin + static_cast<std::ptrdiff_t>(count) }, false);
     }
-    // A large difference is seen first by the process that has the entries and needs no fetch itself, so it tells the peer,
+    // A large difference is seen first by the process that has the entries and needs no fetch itself, so it notifies the peer,
     // which then fetches the directory.
     const bool isAnswer = !message.table->wants_answer();
     if (!isAnswer || (difference.isLarge && !message.table->differs_much()))
--- a/src/kingcuptraild/packets/peernetwork.h
+++ b/src/kingcuptraild/packets/peernetwork.h
@@ -75,7 +75,7 @@
     void setFollowingStore(bool isFollowing);
 
     void send(std::uint32_t address, const FlowMessage& message);
-    /// The same message to several processes, encoded once.
+    /// Sends the same message to several processes; it is encoded only once.
     void sendToAll(std::span<const std::uint32_t> addresses, const FlowMessage& message);
     /// Sends a packet as it is, to a caller or an upstream.
     void sendPacket(std::span<const std::uint8_t> packet, const asio::ip::udp::endpoint& receiver);
--- a/src/kingcuptraild/packets/storefollower.h
+++ b/src/kingcuptraild/packets/storefollower.h
@@ -18,7 +18,7 @@
 public:
     StoreFollower(asio::io_context& context, const PlatformOptions& options, const DeploymentAdapter& adapter, PeerNetwork& network);
 
-    /// Whether the configuration and outages passed on are those that the store holds now, as far as a pending watch can tell.
+    /// Whether the configuration and outages passed on are those that the store holds now, as far as a pending watch shows.
     bool isCurrent() const { return m_routes.isCurrent() && m_outages.isCurrent() && m_livenessCheck.isCurrent(); }
 
     /// The last failure of the first watcher that has one, or None.
--- a/src/libdecision/admission.h
+++ b/src/libdecision/admission.h
@@ -65,7 +65,7 @@
     /// Slots that the upstream reports as occupied by other work, and when this report expires.
     std::uint32_t hintedBusySlots = 0;
     Millis hintExpiresAt = 0;
-    /// Hints are ignored after this time during the warm-up with the number below.
+    /// During the warm-up that `hintsColdStartCount` identifies, hints are ignored from this time on.
     Millis hintsIgnoredFrom = 0;
     std::uint64_t hintsColdStartCount = 0;
 };
--- a/src/libdecision/agentchoice.h
+++ b/src/libdecision/agentchoice.h
@@ -29,8 +29,8 @@
 };
 
 struct AgentChoiceOptions {
-    /// How much fuller than the least loaded agent one in the balancer's own data centre may be and still be chosen, as a
-    /// fraction of all slots. This saves traffic between data centres and adds no waiting while slots are free.
+    /// An agent in the balancer's own data centre is preferred to the least loaded agent if its load is higher by at most
+    /// this fraction of all slots. This saves traffic between data centres and adds no waiting while slots are free.
     double nearAllowance = 0.4;
     /// An agent of the own data centre is preferred only below this load per slot; above it a request would wait there.
     double nearLimit = 0.9;
--- a/src/libdecision/agentflows.h
+++ b/src/libdecision/agentflows.h
@@ -101,8 +101,8 @@
     static constexpr std::array<std::string_view, 3> names { "deliver", "deliverToLearn", "notHeld" };
 };
 
-/// An agent's answer to the question whether it holds a flow: yes, no, or unsure when its upstream may hold the flow from
-/// before this process started.
+/// An agent's answer to a query whether it holds a flow: yes, no, or unsure when its upstream may hold the flow from before
+/// this process started.
 enum class HolderAnswer : std::uint8_t {
     Held,
     NotHeld,
@@ -121,8 +121,9 @@
 /// Updates a flow from a caller's packet that does not open a flow, and decides what to do with the packet.
 CallerPacketAction trackCallerPacket(AgentFlows&, const FlowKey&, const PacketHeader&, Millis now);
 
-/// The immediate answer to a balancer that sent a packet to find the flow's holder; nothing when only the upstream can
-/// tell. A flow that is already known needs an explicit Held, or the balancer's search would end without finding it.
+/// The immediate answer to a balancer that sent a packet to find the flow's holder; nothing when only the upstream can show
+/// whether it holds the flow. A flow that is already known needs an explicit Held, or the balancer's search would end
+/// without finding it.
 std::optional<HolderAnswer> answerToProbe(CallerPacketAction);
 
 /// What a packet from the upstream changed in its flow's state.
--- a/src/libdecision/attempts.cpp
+++ b/src/libdecision/attempts.cpp
@@ -89,7 +89,7 @@
 
 // A non-idempotent request may be sent again on a new flow while the first owner runs it, has run it or can't be reached. To
 // keep it from running twice, it runs here only if every earlier owner has promised that it neither ran the request nor will
-// run it. Any other answer refuses the request with that owner's state.
+// run it. After any other answer the request is refused with that owner's state.
 AttemptsVerdict decideAttempts(const EarlierAttempts& earlier, const AttemptsOptions& options)
 {
     AttemptsVerdict combined { AttemptsDecision::Run, {} };
--- a/src/libdecision/directory.h
+++ b/src/libdecision/directory.h
@@ -88,9 +88,9 @@
 /// A digest that is equal in all processes that know the same entries with the same epochs.
 std::uint64_t digestOf(const Directory&);
 
-/// A digest over the addresses of the agents that may hold flows. It ignores balancers and epochs, which don't matter for
-/// whom to ask about a flow, so after a power failure processes agree on it while the rest of their directories still
-/// differs.
+/// A digest over the addresses of the agents that may hold flows. It ignores balancers and epochs, which don't affect
+/// which agents are asked about a flow, so after a power failure processes agree on it while the rest of their
+/// directories still differs.
 std::uint64_t agentsDigestOf(const Directory&);
 
 /// The same digest over the agents of one data centre, without those in `excluded`.
--- a/src/libdecision/flowadmission.h
+++ b/src/libdecision/flowadmission.h
@@ -59,7 +59,7 @@
 };
 
 /// Whether the reason may disappear while the opening waits. A process that has just started receives the configuration
-/// within a few round trips, and its upstream's next heartbeat.
+/// within a few round trips, and also the next heartbeat of its upstream.
 bool isTransient(OpeningRefusal refusal);
 
 /// The contents of an upstream's heartbeat.
--- a/src/libdecision/holdersearch.cpp
+++ b/src/libdecision/holdersearch.cpp
@@ -78,7 +78,7 @@
     if (answer == HolderAnswer::Unsure)
         search.unsure.push_back(agent);
     // An agent that does not answer may be cut off or paused while its upstream still holds the flow. Only a denial from
-    // every agent proves that nobody holds it.
+    // every agent proves that no upstream holds it.
     if (search.awaited.empty() && search.unsure.empty())
         search.state = SearchState::HeldByNobody;
     return search.state;
--- a/src/libdecision/pausedetector.h
+++ b/src/libdecision/pausedetector.h
@@ -13,7 +13,7 @@
     /// How long packets are dropped after a pause, in milliseconds. Long enough to read what is queued on every link, and
     /// for links that peers have closed to be reconnected and to deliver the current state.
     Millis dropTime = 1000;
-    /// For tests only: when false, pauses are not detected.
+    /// Test only: when off, pauses are not detected.
     bool guard = true;
 };
 
--- a/src/libdecision/storereaders.cpp
+++ b/src/libdecision/storereaders.cpp
@@ -21,8 +21,8 @@
 void recordHeartbeat(StoreReaders& state, const ReaderHeartbeat& beat, Millis now)
 {
     StoreReaders::ReaderState& known = state.readers[beat.name];
-    // A restarted reader counts from the beginning. While its old, higher number is still passed on, that one holds; a
-    // lower number after that belongs to the new process.
+    // A restarted reader counts from the beginning. While the higher number of its previous process is fresh, lower
+    // numbers are ignored; after that, a lower number belongs to the new process.
     if (beat.beat <= known.beat && isFresh(state, known, now))
         return;
     if (beat.beat == known.beat)
--- a/src/libdecision/storereaders.h
+++ b/src/libdecision/storereaders.h
@@ -63,8 +63,8 @@
 /// Increases this process's own heartbeat number.
 void beat(StoreReaders&, const std::string& self, Millis now);
 
-/// The heartbeats to pass on: of the followers of lowest name, who continue when there are too many, and of those that have
-/// stopped.
+/// The heartbeats to pass on: those of the followers with the lowest names, which continue when there are too many
+/// followers, and those of processes that have stopped following the store.
 std::vector<ReaderHeartbeat> currentHeartbeats(const StoreReaders&, Millis now);
 
 /// Announces that this process no longer follows the store, so that others need not wait until its heartbeats are missed.
@@ -77,7 +77,7 @@
 Millis firstReadDelay(const StoreReaderOptions&, std::uint64_t id, double linkMegabits);
 
 /// The additional delay of the first read when `rank` candidates come before this process, in milliseconds. After a power
-/// failure or a restart of all processes nobody has a view. Without this delay each balancer would read the whole store
+/// failure or a restart of all processes no process has a view. Without this delay each balancer would read the whole store
 /// just when it has come back and announce itself as a reader, and every gossip message would list all of them.
 Millis firstReadRankDelay(const StoreReaderOptions&, std::size_t rank, bool isSeed);
 
--- a/src/libdecision/untrackedflows.h
+++ b/src/libdecision/untrackedflows.h
@@ -51,7 +51,7 @@
     Millis silence = 0;
 };
 
-/// Records a report that is not stale. `isNewProcess` tells that the report before it came from another process.
+/// Records a report that is not stale. `isNewProcess` is set if the report before it came from another process.
 void recordReport(UntrackedFlows&, const UpstreamReport&, bool isNewProcess);
 
 /// Records the upstream's notice that it shuts down.
--- a/tests/daemon/testactiveconfig.cpp
+++ b/tests/daemon/testactiveconfig.cpp
@@ -65,8 +65,9 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t { 1 }, activeConfig.olderIgnored());
     }
 
-    // Guards against processes that diverge. One follows the platform, one gets every change from the first, and one gets a
-    // delta over several changes now and then from either. Parts arrive in reverse order. All must hold the same configuration.
+    // Guards against processes that diverge. The first process follows the platform, the second gets every change from the
+    // first, and the third now and then gets a delta over several changes from either of them. Parts arrive in reverse order.
+    // All must hold the same configuration.
     void deltasBringEveryPeerToTheSameConfiguration()
     {
         std::mt19937 random(11);
--- a/tests/daemon/testagentannouncement.cpp
+++ b/tests/daemon/testagentannouncement.cpp
@@ -122,8 +122,8 @@
         CPPUNIT_ASSERT_EQUAL(reads, countCalls("GET", "agent-1"));
     }
 
-    // Guards against an upstream that processes started later never learn of. The agent of a restarted host finds no upstream
-    // and withdraws the old entry, and the upstream starts while the withdrawal is in progress.
+    // Guards against an upstream that stays unknown to processes that start later. The agent of a restarted host finds no
+    // upstream and withdraws the old entry, and the upstream starts while the withdrawal is in progress.
     void upstreamThatComesBackIsAnnouncedAgain()
     {
         announce();
--- a/tests/decision/testadmission.cpp
+++ b/tests/decision/testadmission.cpp
@@ -181,8 +181,8 @@
         }
     }
 
-    // Guards against the load of a warm upstream for one that turns cold under 70 % load. Its first slow answers, sheds or
-    // lost connections reveal it: later than 100 ms after that, no request starts beyond what it can serve.
+    // Guards against sending the load of a warm upstream to one that turns cold under 70 % load. Its first slow answers,
+    // sheds or lost connections reveal it: later than 100 ms after that, no request starts beyond what it can serve.
     void suddenColdUpstreamIsDetected()
     {
         constexpr Millis turn = 20000;
--- a/tests/decision/testidleclose.cpp
+++ b/tests/decision/testidleclose.cpp
@@ -11,7 +11,7 @@
     CPPUNIT_TEST(restartBetweenIdleClosesIsDetected);
     CPPUNIT_TEST_SUITE_END();
 
-    // Guards against the load of a warm upstream for one that was restarted while idle.
+    // Guards against sending the load of a warm upstream to one that was restarted while idle.
     void unexplainedCloseIndicatesRestart()
     {
         IdleCloseHistory history;
--- a/tests/decision/testreachability.cpp
+++ b/tests/decision/testreachability.cpp
@@ -35,7 +35,7 @@
         }
     }
 
-    // Guards against the load of a warm upstream for a process that has just replaced it.
+    // Guards against sending the load of a warm upstream to a process that has just replaced it.
     void failedConnectionIndicatesReplacement()
     {
         Reachability state;
--- a/tests/packets/testagentflows.cpp
+++ b/tests/packets/testagentflows.cpp
@@ -123,7 +123,7 @@
     }
 
     // A balancer is paused with an opening packet in its socket, and the caller's copy opens the flow at another upstream
-    // through another balancer. Two seconds later the paused balancer resumes and brings the old packet to this agent,
+    // through another balancer. Two seconds later the paused balancer resumes and forwards the old packet to this agent,
     // whose upstream is then replaced. Guards against a reset of the flow, which the other upstream holds.
     void uncompletedOpeningsAreNotReset()
     {
--- a/tests/packets/testofferpolicy.cpp
+++ b/tests/packets/testofferpolicy.cpp
@@ -44,7 +44,7 @@
         CPPUNIT_ASSERT(needsFreeSlot(state, 0));
     }
 
-    // Guards against choosing the least loaded of no agents when an answer arrives after its round has ended.
+    // Guards against choosing the least loaded agent from an empty list when an answer arrives after its round has ended.
     void lateAnswerBetweenRoundsOffersAgain()
     {
         CPPUNIT_ASSERT(nextOfferStep({}, 2, 0) == OfferStep::AskNext);
--- a/tests/packets/testprobeplan.cpp
+++ b/tests/packets/testprobeplan.cpp
@@ -143,7 +143,7 @@
     }
 
     // The agent that was to answer for its data centre does not answer in time, so each of the twenty agents is asked
-    // itself, and they answer one after the other that they are unsure. Guards against twenty copies of the packet.
+    // directly, and they answer one after the other that they are unsure. Guards against twenty copies of the packet.
     void agentsUnsureOneByOneGetOnePacket()
     {
         UnsureFleet fleet(1, 20);
--- a/tests/packets/testunresponsiveagents.cpp
+++ b/tests/packets/testunresponsiveagents.cpp
@@ -13,7 +13,7 @@
     CPPUNIT_TEST_SUITE_END();
 
     // A host loses power for good, and its agent never announced that it was leaving. Guards against searches for lost
-    // flows that wait for this agent for ever, so that no caller is told any more.
+    // flows that wait for this agent for ever, so that callers no longer learn that their flows are lost.
     void lostHostIsPresumedGone()
     {
         UnresponsiveAgents agents;
--- a/tests/packets/testuntrackedflows.cpp
+++ b/tests/packets/testuntrackedflows.cpp
@@ -133,7 +133,7 @@
         CPPUNIT_ASSERT(knowsEveryFlow(state));
     }
 
-    // Guards against an agent that is stopped right after its start, beside no upstream, and leaves its directory entry
+    // Guards against an agent that starts without an upstream, is stopped right after that and leaves its directory entry
     // behind.
     void refusalsMayShowAMissingUpstream()
     {
--- a/tests/trustplatform/testpacketagent.cpp
+++ b/tests/trustplatform/testpacketagent.cpp
@@ -9,7 +9,7 @@
 
 using namespace kingcuptrail;
 
-/// One agent with its upstream's addresses, a store, and a peer that sends it questions and receives its gossip.
+/// One agent with its upstream's addresses, a store, and a peer that sends it queries and receives its gossip.
 class TestPacketAgent : public PlatformFixture {
     CPPUNIT_TEST_SUITE(TestPacketAgent);
     CPPUNIT_TEST(startFailsWhenAddressesAreTaken);
