--- a/src/libcaller/callerflow.cpp
+++ b/src/libcaller/callerflow.cpp
@@ -208,8 +208,8 @@
     if (now < m_probeDue)
         return;
     frames.push_back(frame(wire::PacketKind::Ack, m_owner));
-    // Probes go over any balancer, and a balancer may be frozen for some seconds before this is detected. With one probe
-    // per interval, two lost probes would use up most of the silence limit, so an unanswered probe is repeated sooner.
+    // A probe may pass through any balancer, and a balancer may be frozen for some seconds before this is detected. With one
+    // probe per interval, two lost probes would use up most of the silence limit, so an unanswered probe is repeated sooner.
     m_probeDue = now + m_probeRepeat;
     m_probeRepeat = std::min(m_probeRepeat * 2, m_options.probeInterval);
     expectAnswer(now);
--- a/src/libcaller/callerflow.h
+++ b/src/libcaller/callerflow.h
@@ -161,7 +161,7 @@
     bool m_isSuspect = false;
 };
 
-/// Builds a close packet that tells the sender of `packet` that the flow no longer exists at this caller.
+/// Builds a close packet that informs the sender of `packet` that the flow no longer exists at this caller.
 Bytes closeFrameFor(const wire::Packet& packet);
 
 /// The owner token in a packet; not set when the packet carries none.
--- a/src/libcaller/callprogress.h
+++ b/src/libcaller/callprogress.h
@@ -71,7 +71,7 @@
 /// answer, which states whether the request ran, arrives before the caller has to report an unknown outcome.
 Millis agentDeadline(Millis left);
 
-/// The result of a try whose flow ended. `bodySent` tells whether the whole request had been passed to the flow: an agent
+/// The result of a try whose flow ended. `bodySent` is whether the whole request had been passed to the flow: an agent
 /// runs a request only when its body is complete and matches its hash, so a request that was not fully sent has not run.
 AttemptResult attemptLostWithFlow(RefusalReason reason, Millis retryAfter, bool bodySent);
 
@@ -82,7 +82,7 @@
 CallOutcome outcomeAfter(const CallProgress&, const AttemptResult& last);
 
 /// The outcome of a call that ends now, at its deadline or because the end user cancelled it. Later answers do not change
-/// it. `bodySent` tells whether the current try had sent its whole request.
+/// it. `bodySent` is whether the current try had sent its whole request.
 CallOutcome outcomeOfAbandonedCall(const CallProgress&, bool byDeadline, bool bodySent);
 
 }
--- a/src/libcaller/fabriclink.h
+++ b/src/libcaller/fabriclink.h
@@ -54,7 +54,8 @@
     std::shared_ptr<Link> m_link;
     std::uint64_t m_losses = 0;
     bool m_closed = false;
-    /// Handlers of timers hold a weak reference: a timer that has expired still calls its handler after its destruction.
+    /// Timer handlers hold a weak reference to it, since the handler of an expired timer may still run after this link's
+    /// destruction.
     std::shared_ptr<void> m_alive = std::make_shared<char>();
 };
 
--- a/src/libcaller/requestcall.h
+++ b/src/libcaller/requestcall.h
@@ -95,8 +95,8 @@
 };
 
 /// Assembles an answer and verifies it. The length and hash in the head are checked before a body is delivered, and the
-/// chunks of a stream must be contiguous. Otherwise a failed upstream or agent could cause a truncated body, and mixed-up
-/// answers the body of another request.
+/// chunks of a stream must be contiguous. Otherwise the end user could get a truncated body after a failure of the upstream
+/// or agent, or the body of another request's answer when answers are mixed up.
 class AnswerAssembly {
 public:
     explicit AnswerAssembly(bool expectsStream);
--- a/src/libhistory/checker.h
+++ b/src/libhistory/checker.h
@@ -52,7 +52,8 @@
     Millis configBound = 5000;
     /// Time after a failure in which a flow or request may still end because of it: the longest silence limit plus a margin.
     Millis notice = 10000;
-    /// Time within which an agent must detect that its upstream became cold without notice, by a fault named at it.
+    /// Time within which an agent must detect that its upstream became cold without notice, because of an injected fault that
+    /// names the upstream.
     Millis coldDetect = 1000;
 };
 
@@ -73,8 +74,8 @@
     std::uint64_t outcomeUnknown = 0;
     std::uint64_t doubleRuns = 0;
     std::uint64_t misrouted = 0;
-    /// The largest number of flows opened at one upstream of a service, divided by the mean over its upstreams. The value
-    /// of the service with the highest ratio; 0 without flows.
+    /// The largest number of flows opened at one upstream of a service, divided by the mean over its upstreams. With
+    /// several services, the highest of their ratios; 0 without flows.
     double imbalance = 0;
 };
 
--- a/src/libhistory/checkrequests.cpp
+++ b/src/libhistory/checkrequests.cpp
@@ -90,7 +90,7 @@
         return call.sent->at <= at && call.outcome && call.outcome->at >= at;
     }
 
-    /// Several calls may send the same key, of which one runs. The others do not count as interrupted if that one got the
+    /// Several calls may send the same key, of which one runs. The others do not count as interrupted if that call got the
     /// answer.
     bool wasAnsweredElsewhere(const HistoryIndex& index, const std::string& key)
     {
--- a/src/libhistory/historyindex.cpp
+++ b/src/libhistory/historyindex.cpp
@@ -34,7 +34,7 @@
     }
 
     /// Whether an event of kind `ended` ends a failure of kind `began`. Continuing a process ends its freeze, and the end
-    /// of a fault that fault; the next start of the process ends a kill, a freeze or a shutdown.
+    /// of a fault ends that fault; the next start of the process ends a kill, a freeze or a shutdown.
     bool endsWith(HistoryKind began, HistoryKind ended)
     {
         switch (ended) {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The call that an outcome belongs to: the latest one without an outcome of the same caller, key and call number.
+    /// The call that an outcome belongs to: the latest call of the same caller, key and call number that has no outcome yet.
     CallRecord* findOpenCall(std::vector<CallRecord>& calls, const HistoryEvent& event)
     {
         const auto found = std::find_if(calls.rbegin(), calls.rend(), [&](const CallRecord& call) {
--- a/src/libhistory/historyindex.h
+++ b/src/libhistory/historyindex.h
@@ -56,7 +56,7 @@
     /// call survived them.
     bool isExplainedByFailure(const std::string& upstream, Millis start, Millis end) const;
 
-    /// The same for a failure of any process and any other fault.
+    /// The same for failures of any process and for all other faults.
     bool hasFailure(Millis start, Millis end) const;
 
     bool isIdempotent(const std::string& key) const;
--- a/src/libplatform/configreader.cpp
+++ b/src/libplatform/configreader.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 
-    /// Service objects that are read individually; if more are missing, one call lists all objects of the kind. That transfers
-    /// more bytes but takes a constant number of calls: when seven hundred daemons start, or many services change at once,
-    /// individual reads of two thousand services each would keep the platform busy for minutes.
+    /// Maximum number of service objects that are read individually; if more are missing, one call lists all objects of the
+    /// kind. That transfers more bytes but takes a constant number of calls: when seven hundred daemons start, or many services
+    /// change at once, individual reads of two thousand services each would keep the platform busy for minutes.
     constexpr std::size_t maxSingleReads = 8;
 
 }
--- a/src/libplatform/platformclient.h
+++ b/src/libplatform/platformclient.h
@@ -68,8 +68,8 @@
     Millis callTimeout = 3000;
     /// How long the platform holds a watch without changes before it returns an empty list, in milliseconds.
     Millis watchWait = 20000;
-    /// How long the store's host may not respond on a call's connection before the call fails, in milliseconds; 0 means as long
-    /// as the timeout of the call.
+    /// Time without any TCP acknowledgement from the store's host after which a call fails, in milliseconds; 0 means that only
+    /// the timeout of the call applies.
     Millis keepAliveTimeout = 0;
     /// Name of this process, sent with each call so that the platform can count calls for each client.
     std::string client;
--- a/src/libplatform/presencewatcher.cpp
+++ b/src/libplatform/presencewatcher.cpp
@@ -154,8 +154,8 @@
     leaseDelay.start(leaseCheckDelay, [this] { checkLeases(); });
 }
 
-// When an upstream with a short lease joins just after a check of long leases only, the delay computed from those
-// would hide the immediate death of its agent. The delay is shortened.
+// When an upstream with a short lease joins just after a check of long leases only, the delay computed from the long leases
+// would be too long to detect an early death of its agent in time. The delay is therefore shortened.
 void PresenceWatcher::Private::checkLeasesSooner()
 {
     if (!isChecking && leaseCheckInterval() < leaseCheckDelay)
--- a/src/libplatform/presencewatcher.h
+++ b/src/libplatform/presencewatcher.h
@@ -15,7 +15,7 @@
 public:
     using OnPresence = std::function<void(const std::vector<Presence>&)>;
 
-    /// Whether an upstream's lease has to be checked. If its agent is connected over a link, it is alive whatever its lease.
+    /// Whether an upstream's lease has to be checked. An agent that is connected over a link is alive, whatever its lease.
     using NeedsLeaseCheck = std::function<bool(const Presence&)>;
 
     /// Without `needsLeaseCheck` every lease is checked.
--- a/src/libprotocol/framing.cpp
+++ b/src/libprotocol/framing.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-    /// Bound the verifier's work on a malicious frame. Valid frames nest four levels deep and have few tables.
+    /// Limits of the verifier's work on a malicious frame. Valid frames nest four levels deep and have few tables.
     constexpr flatbuffers::uoffset_t maxTableDepth = 16;
     constexpr flatbuffers::uoffset_t maxTables = 50000;
 
--- a/src/libruntime/supervisor.h
+++ b/src/libruntime/supervisor.h
@@ -84,7 +84,8 @@
     void remove(const std::string& name);
     bool contains(const std::string& name) const;
 
-    /// Destroys all children in reverse order. For an owner that its children call during their destruction.
+    /// Destroys all children in reverse order. For an owner whose members are still used by its children while
+    /// these are destroyed.
     void destroyAll();
 
     /// The status of all descendants.
--- a/tests/histories/testhistories.cpp
+++ b/tests/histories/testhistories.cpp
@@ -12,7 +12,7 @@
 
 // Seeds that exposed a fault, since fixed:
 constexpr std::array<std::uint64_t, 9> seedsWithFaults {
-    20, // A warm-up was counted from before its upstream had restarted: two requests where it could process one.
+    20, // A warm-up included time before its upstream's restart: the upstream got two requests when it could process one.
     37, // A balancer with a stale configuration reset flows of a data centre that had returned to service.
     174, // A balancer resumed after a pause and reopened a closed flow: a request refused as not run did run.
     395, // An agent in a data centre out of service resumed after a pause and accepted packets from before it.
--- a/tests/platform/testconfigapply.cpp
+++ b/tests/platform/testconfigapply.cpp
@@ -42,7 +42,7 @@
     }
 
     // The platform accepts every write of an apply, but the responses are lost. Without reading back, the operator would get a
-    // conflict with the own change.
+    // conflict with their own change.
     void lostResponseIsResolvedByReadingBack()
     {
         m_server->setFaults({ .loseAnswers = 2 });
--- a/tests/platform/testmembership.cpp
+++ b/tests/platform/testmembership.cpp
@@ -222,8 +222,8 @@
         CPPUNIT_ASSERT(watched.now.front().token == later.announced.front().token);
     }
 
-    // One of thousands of linked agents dies. Listing all leases to check that one would be most of a balancer's control traffic.
-    // Only the lease of an agent without a link may be read, and none while all agents are linked.
+    // One of thousands of linked agents dies. Listing all leases to check that agent's lease would be most of a balancer's
+    // control traffic. Only the lease of an agent without a link may be read, and none while all agents are linked.
     void onlyLeasesOfUnlinkedAgentsAreRead()
     {
         bool isLinked = true;
--- a/tests/runtime/testdocs.cpp
+++ b/tests/runtime/testdocs.cpp
@@ -22,7 +22,7 @@
         return begin == std::string::npos ? "" : cell.substr(begin, end - begin + 1);
     }
 
-    /// The cells of every table row of a page that begins with `mark`.
+    /// The cells of each table row on a page, if the row begins with `mark`.
     static std::vector<std::vector<std::string>> rows(const std::string& page, const std::string& mark)
     {
         std::ifstream file(std::string(DOCS_FOLDER "/") + page);
