--- a/bench/kingcuptrail-slopes/fakebalancers.cpp
+++ b/bench/kingcuptrail-slopes/fakebalancers.cpp
@@ -9,7 +9,7 @@
 namespace {
 
     constexpr Millis dialTimeout = 2000;
-    /// The interval of a balancer with few links, which is the highest load of heartbeats on an agent.
+    /// The heartbeat interval of a balancer with few links, which puts the highest heartbeat load on an agent.
     constexpr Millis heartbeatBase = 500;
 
 }
--- a/bench/libmodel/metrics.h
+++ b/bench/libmodel/metrics.h
@@ -111,7 +111,7 @@
     /// of, and the greatest excess.
     std::uint64_t coldOverruns = 0;
     double coldExcess = 0;
-    /// The same, after an upstream became cold without the agent being informed.
+    /// Work beyond what the upstream could serve, as above, after it became cold without the agent being informed.
     std::uint64_t suddenColdOverruns = 0;
     /// Number of crashes of upstreams under overload.
     std::uint64_t overloadCrashes = 0;
--- a/bench/libmodel/modelagent.cpp
+++ b/bench/libmodel/modelagent.cpp
@@ -436,7 +436,7 @@
     const Millis now = m_context.loop.nowMillis();
     const DeploymentSpec& deployment = m_context.experiment.deployment;
     closeSilentLinks();
-    // The health endpoint refuses connections, so the next process that answers there is a new one, which starts cold.
+    // The health endpoint refuses connections, so the process that answers there next is a new process, which starts cold.
     if (!m_upstream.isAlive())
         restartWarmUp(m_admission, now);
     for (const auto& [balancer, link] : m_balancers) {
--- a/bench/libmodel/modelcallers.cpp
+++ b/bench/libmodel/modelcallers.cpp
@@ -11,7 +11,7 @@
     constexpr std::uint32_t maxUnacknowledgedSends = 15;
     /// Delay before a caller that could not open a flow tries again.
     constexpr Micros reopenDelay = 500 * microsPerMilli;
-    /// Interval at which a request without an open flow looks for one.
+    /// Interval at which a request that waits for an open flow checks whether there is one.
     constexpr Micros flowPollInterval = 50 * microsPerMilli;
 
     HistoryKind eventKindOf(RequestEnd outcome)
--- a/bench/libmodel/modelcallers.h
+++ b/bench/libmodel/modelcallers.h
@@ -57,7 +57,7 @@
         std::uint32_t sends = 0;
         bool isAcknowledged = false;
         bool isInFlight = false;
-        /// An attempt ended with an unknown outcome.
+        /// Set when an attempt ended with an unknown outcome.
         bool mayHaveRun = false;
     };
 
--- a/bench/libmodel/modelstore.cpp
+++ b/bench/libmodel/modelstore.cpp
@@ -119,7 +119,8 @@
     m_context.loop.after(notificationDelay(watcher), [this, watcher, generation = m_watchers[watcher].generation, notify] { deliver(watcher, generation, notify); });
 }
 
-// The notification holds the configuration of this moment. A slow one may arrive after a newer configuration from a peer.
+// The notification holds the configuration at the time of this call. If the notification is delayed, the watcher may already
+// have a newer configuration from a peer.
 void ModelStore::notifyConfig(std::size_t watcher)
 {
     ++m_context.metrics.platformCalls;
--- a/bench/libmodel/policy.h
+++ b/bench/libmodel/policy.h
@@ -33,7 +33,7 @@
     static constexpr std::array<std::string_view, 5> names { "modulo", "ranking", "fixed-limit", "redirects", "full" };
 };
 
-/// A guard that can be disabled in a run, to show that the history checker detects the violations that it prevents.
+/// A guard that can be disabled in a run, to show that the history checker detects the violations that the guard prevents.
 enum class DisabledGuard : std::uint8_t {
     None,
     OwnerTokens,
--- a/tests/scenarios/agentkilled.lua
+++ b/tests/scenarios/agentkilled.lua
@@ -1,6 +1,6 @@
--- An agent is killed in the middle of Filings and restarts with an empty ledger. The callers resend what was cut on new flows,
--- to whichever agent accepts them. A Filing that its upstream had begun must not run a second time; its caller must be told
--- that the outcome is unknown. Feeds at that upstream are lost, those at other upstreams are not.
+-- An agent is killed in the middle of Filings and restarts with an empty ledger. The callers resend the interrupted requests
+-- on new flows, at the agents that accept these. A Filing that its upstream had begun must not run a second time; its caller
+-- must be told that the outcome is unknown. Feeds at that upstream are lost, those at other upstreams are not.
 deploy { services = { { name = "board", count = 3, slots = 5 }, { name = "filing", count = 3, slots = 5, flags = { filing_ms = 600 } } } }
 call { name = "crews", service = "board", load = { feeds = 6, flows = 6, queries_per_second = 30, seconds = 10 } }
 for number = 1, 3 do
--- a/tests/scenarios/balancersleave.lua
+++ b/tests/scenarios/balancersleave.lua
@@ -1,5 +1,5 @@
--- Every balancer is replaced, one after the other, as in a routine rollout: it is told to leave, announces that to the fabric
--- and its peers, and exits; a new process takes its place. No flow or request may be affected.
+-- Every balancer is replaced, one after the other, as in a routine rollout: it gets SIGTERM, announces to the fabric and its
+-- peers that it is leaving, and exits; a new process replaces it. No flow or request may be affected.
 deploy { services = { { name = "board", count = 3, slots = 5 }, { name = "filing", count = 2, slots = 5 } } }
 call { name = "crews", service = "board", load = { feeds = 6, flows = 6, queries_per_second = 50, seconds = 9 } }
 call { name = "contractors", service = "filing", seed = 7, load = { filings = 18, filing_bytes = 1000000, seconds = 9 } }
--- a/tests/scenarios/chaos.lua
+++ b/tests/scenarios/chaos.lua
@@ -1,6 +1,6 @@
 -- Overlapping random failures: balancers, agents with their upstreams, and the platform with its operators each have their own
 -- sequence of failures, drawn from the seed. At least one balancer works at any time. Whatever failures coincide, end users may
--- lose only what was at an upstream that failed or was taken out of service, and every promise must hold.
+-- lose only flows and requests at an upstream that failed or was taken out of service, and every promise must hold.
 math.randomseed(seed)
 local runFor = 16000
 deploy { relays = true, services = {
--- a/tests/scenarios/drainanddeath.lua
+++ b/tests/scenarios/drainanddeath.lua
@@ -1,6 +1,6 @@
--- Two upstreams are to be replaced: their agents are told to leave while feeds are open and a Filing is being processed. A
--- balancer is killed in the same second, so the other balancers learn of the leave at different times. After a few seconds
--- no new flow may reach the leaving agents; their remaining work must complete before they exit by themselves.
+-- Two upstreams are to be replaced: their agents get SIGTERM while feeds are open and a Filing is being processed. A balancer
+-- is killed in the same second, so the other balancers receive the two agents' draining state at different times. After a few
+-- seconds no new flow may reach the leaving agents; their remaining work must complete before they exit by themselves.
 deploy { services = { { name = "board", count = 3, slots = 5 }, { name = "filing", count = 2, slots = 5, flags = { filing_ms = 800 } } } }
 call { name = "crews", service = "board", load = { feeds = 9, flows = 9, queries_per_second = 30, seconds = 9 } }
 call { name = "contractors", service = "filing", seed = 2, load = { filings = 30, filing_bytes = 100000, seconds = 9 } }
--- a/tests/scenarios/platformdown.lua
+++ b/tests/scenarios/platformdown.lua
@@ -1,6 +1,6 @@
--- The platform's store is down for longer than any lease. Feeds and Filings must continue, because no daemon needs the
--- store to forward a packet. A balancer that is restarted meanwhile has no configuration and no members: it must accept no
--- packets until it has them, since it would drop them, and it must join once the store is back. No daemon may return to an
+-- The platform's store is down for longer than any lease. Feeds and Filings must continue, because no daemon needs the store
+-- to forward a packet. A balancer that is restarted meanwhile has no configuration and no members: it must accept no packets
+-- until it has both, since it would drop every packet, and it must join once the store is back. No daemon may return to an
 -- older configuration.
 deploy { services = { { name = "board", count = 3, slots = 5 }, { name = "filing", count = 2, slots = 5 } } }
 call { name = "crews", service = "board", load = { feeds = 6, flows = 6, queries_per_second = 30, seconds = 12 } }
--- a/tests/scenarios/runner/relay.cpp
+++ b/tests/scenarios/runner/relay.cpp
@@ -73,7 +73,7 @@
             });
         }
 
-        /// Handles the close of one end. A silent connection does not close the other end either.
+        /// Handles the close of one end: closes both sockets, unless the connection is silent.
         void end()
         {
             isEnded = true;
--- a/tests/scenarios/verbs.lua
+++ b/tests/scenarios/verbs.lua
@@ -41,7 +41,7 @@
     return waitFor("the end of " .. name, limit, function() return exitCode(name) end)
 end
 
--- Recorded for readers of the history only: the checker excuses no violation because of it.
+-- Records the fault of a link for readers of the history only: the checker excuses no violation because of this fault.
 local function recordLinkFault(relay, what)
     perform("record", { event = "faultBegan", who = "scenario", process = "relay-" .. relay.id, detail = what })
     perform("record", { event = "faultEnded", who = "scenario", process = "relay-" .. relay.id })
@@ -63,7 +63,7 @@
 -- Sets the faults of the fabric: duplicate and drop (fractions of the packets), delayMs (maximum random delay).
 function fabric(faults)
     local reply = perform("http", { port = deployment.fabricControl, method = "POST", path = "/faults", body = faults })
-    expect(reply and reply.status == 200, "the fabric to take its faults")
+    expect(reply and reply.status == 200, "the fabric to accept the faults")
 end
 
 function status(name)
@@ -76,7 +76,7 @@
     local isBroken = next(faults) ~= nil
     local body = isBroken and faults or { down = false }
     local reply = perform("http", { port = deployment.platform, method = "POST", path = "/faults", body = body })
-    expect(reply and reply.status == 200, "the platform to take its faults")
+    expect(reply and reply.status == 200, "the platform to accept the faults")
     perform("record", { event = isBroken and "faultBegan" or "faultEnded", who = "scenario", process = "platform", role = "platform" })
 end
 
@@ -319,7 +319,7 @@
 -- The number of non-idempotent requests that have run twice so far, according to the checker.
 function doubleRunsSoFar() return perform("check", {}).summary.doubleRuns end
 
--- For runs with a safeguard switched off: fails the scenario unless the checker reports this promise as broken.
+-- For runs with a guard disabled: fails the scenario unless the checker reports this promise as broken.
 function checkIsBroken(promise, options)
     for _, violation in ipairs((runCheck(options))) do
         if violation:find(promise, 1, true) == 1 then return end
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -195,7 +195,7 @@
     const std::uint64_t opened = after.opened - before.opened;
     std::cout << "fault-free window: flows tried " << flowsTried << ", opened " << opened << "; in all: flows tried " << after.flowsTried << ", served " << after.served << ", resets " << after.resets << "\n";
     if (opened * 100 < flowsTried * minOpenedPercent)
-        promises.recordViolation(Promise::Recovers, std::to_string(opened) + " of " + std::to_string(flowsTried));
+        promises.recordViolation(Promise::Recovers, std::to_string(opened) + " openings answered of " + std::to_string(flowsTried));
 }
 
 int report(const PromiseChecker& promises, const std::string& folder)
--- a/tests/soak/promisechecker.cpp
+++ b/tests/soak/promisechecker.cpp
@@ -26,14 +26,14 @@
     const Millis now = m_clock.now();
     const auto allowed = m_allowedServices.find(toServiceAddress(address));
     if (allowed == m_allowedServices.end() || !allowed->second.contains(service))
-        recordViolation(Promise::RightService, toString(address) + " at " + upstream);
+        recordViolation(Promise::RightService, toString(address) + " was opened at upstream " + upstream);
     if (!isUndisturbed(upstream))
         return;
     if (const auto draining = m_drainingSince.find(upstream); draining != m_drainingSince.end() && now - draining->second > drainBound)
-        recordViolation(Promise::DrainHeld, upstream + " after " + std::to_string(now - draining->second) + " ms");
+        recordViolation(Promise::DrainHeld, upstream + " got an opening " + std::to_string(now - draining->second) + " ms after its drain was confirmed");
     const Millis bound = now - m_storeDisturbedAt < undisturbedTime + disturbedStoreBound ? outageBound + disturbedStoreBound : outageBound;
     if (const auto out = m_outSince.find(dataCentre); out != m_outSince.end() && now - out->second > bound)
-        recordViolation(Promise::OutageHeld, upstream + " after " + std::to_string(now - out->second) + " ms");
+        recordViolation(Promise::OutageHeld, upstream + " got an opening " + std::to_string(now - out->second) + " ms after its data centre was taken out of service");
 }
 
 void PromiseChecker::checkReset(const std::string& flow, std::uint32_t sequence)
@@ -43,7 +43,7 @@
         return;
     const Answerer& holder = answers->second.at(sequence);
     if (m_processes[holder.upstream] == holder.process && isUndisturbed(holder.upstream))
-        recordViolation(Promise::FlowKept, flow + " at " + holder.upstream);
+        recordViolation(Promise::FlowKept, flow + " was reset although its upstream process is running at " + holder.upstream);
 }
 
 void PromiseChecker::recordViolation(Promise promise, const std::string& what)
--- a/tests/soak/soakcaller.cpp
+++ b/tests/soak/soakcaller.cpp
@@ -97,7 +97,7 @@
         return;
     }
     if (!hasValidChecksum(packet)) {
-        m_promises.recordViolation(Promise::Untouched, "at the caller of " + name);
+        m_promises.recordViolation(Promise::Untouched, "packet with an invalid checksum at the caller of " + name);
         return;
     }
     if (head->flags.opens && !flow.isOpen) {
@@ -120,7 +120,7 @@
     if (data != "answer to " + flow.request) {
         // A duplicate of the answer to this caller's previous request is allowed.
         if (!data.starts_with("answer to " + std::to_string(m_address.to_uint()) + "/"))
-            m_promises.recordViolation(Promise::OwnAnswer, data + " for " + flow.request);
+            m_promises.recordViolation(Promise::OwnAnswer, data + " received for request " + flow.request);
         return;
     }
     flow.nextSequence += static_cast<std::uint32_t>(flow.request.size());
@@ -135,7 +135,8 @@
     flow.timer->start(resendInterval, [this, name = toString(flow.key)] { endFlow(name); });
 }
 
-// Posted, because the caller may be a handler of the flow's own timer, which must not be destroyed while it runs.
+// The removal is posted, because this function may be called by a handler of the flow's own timer, and a timer must not be
+// destroyed while its handler runs.
 void SoakCaller::endFlow(const std::string& name)
 {
     asio::post(m_context, [this, name] { m_flows.erase(name); });
--- a/tests/soak/soakupstream.cpp
+++ b/tests/soak/soakupstream.cpp
@@ -52,7 +52,7 @@
     DecodeError error = DecodeError::None;
     const auto head = trustAdapter().decodePacket(packet, error);
     if (!head || !hasValidChecksum(packet)) {
-        m_promises.recordViolation(Promise::Untouched, "at " + m_options.host);
+        m_promises.recordViolation(Promise::Untouched, "packet with an invalid header or checksum at " + m_options.host);
         return;
     }
     const FlowKey flow = flowFromCaller(*head);
--- a/tests/soak/soakupstream.h
+++ b/tests/soak/soakupstream.h
@@ -22,7 +22,7 @@
 };
 
 /// The upstream of an agent: accepts flows, answers each request with the request's text, returns packets of flows that it
-/// does not hold, and reports to its agent. Tells the promise checker which openings reached it.
+/// does not hold, and reports to its agent. Reports to the promise checker which openings reached it.
 class SoakUpstream {
 public:
     SoakUpstream(asio::io_context& context, UpstreamOptions options, PromiseChecker& promises, std::uint32_t seed);
--- a/tests/standins/caller/workload.cpp
+++ b/tests/standins/caller/workload.cpp
@@ -216,7 +216,7 @@
 {
     if (std::exchange(m_finishing, true))
         return;
-    // The objects are not destroyed here, because the handler of a timer that has already expired still runs.
+    // The periodic actions are not destroyed here, because the handler of a timer that has already expired still runs.
     for (const auto& periodicAction : m_periodicActions)
         periodicAction->remaining = 0;
     for (const auto& [id, isOpen] : std::map<CallId, bool>(m_feedCalls))
--- a/tests/standins/upstream/upstream.cpp
+++ b/tests/standins/upstream/upstream.cpp
@@ -66,7 +66,7 @@
         handleControl(request.body, *responder);
         return;
     }
-    // Posted, so that connections which the agent closed before this request are no longer counted.
+    // The start is posted, so that requests whose connections the agent closed before this one are no longer counted.
     asio::post(m_context, [this, request = std::move(request), responder = std::move(responder)]() mutable { begin(std::move(request), std::move(responder)); });
 }
 
