--- a/bench/benchmarks/benchprotocol.cpp
+++ b/bench/benchmarks/benchprotocol.cpp
@@ -48,9 +48,9 @@
     for (auto _ : state) {
         ++now;
         sender.send(Bytes(static_cast<std::size_t>(state.range(0))));
-        for (const FlowEndpoint::Segment& segment : sender.takeDue(now))
+        for (const FlowEndpoint::Segment& segment : sender.collectOutgoing(now))
             receiver.receive(segment.sequence, Bytes(*segment.payload));
-        benchmark::DoNotOptimize(receiver.takeDelivered());
+        benchmark::DoNotOptimize(receiver.dequeuePayload());
         sender.acknowledge(receiver.receivedUpTo(), now);
     }
 }
--- a/bench/libmodel/modelagent.cpp
+++ b/bench/libmodel/modelagent.cpp
@@ -50,7 +50,7 @@
     m_ledger = {};
     m_redirects = {};
     m_closedFlows = {};
-    m_pause = {};
+    m_pauseDetector = {};
     m_flows.clear();
     m_work.clear();
     m_redirectsToSend.clear();
@@ -143,9 +143,9 @@
 /// After a pause of the process its knowledge of the upstream is outdated, so the warm-up starts again.
 void ModelAgent::detectPause()
 {
-    const Millis held = m_pause.dropUntil;
-    recordRun(m_pause, m_context.policy.pause, m_context.loop.nowMillis());
-    if (m_pause.dropUntil != held)
+    const Millis previousDropUntil = m_pauseDetector.dropUntil;
+    recordRun(m_pauseDetector, m_context.policy.pause, m_context.loop.nowMillis());
+    if (m_pauseDetector.dropUntil != previousDropUntil)
         restartWarmUp(m_admission, m_context.loop.nowMillis());
 }
 
@@ -160,7 +160,7 @@
     LinkState& link = m_balancers[from.index];
     link.lastReceivedAt = now;
     if (auto* packet = std::get_if<FlowPacket>(&message)) {
-        if (!isDroppingPackets(m_pause, now))
+        if (!isDroppingPackets(m_pauseDetector, now))
             receivePacket(from.index, std::move(*packet));
     } else if (const auto* config = std::get_if<ConfigMessage>(&message)) {
         link.configVersion = std::max(link.configVersion, config->version);
--- a/bench/libmodel/modelagent.h
+++ b/bench/libmodel/modelagent.h
@@ -151,7 +151,7 @@
     Ledger m_ledger;
     Redirects m_redirects;
     ClosedFlows m_closedFlows;
-    PauseDetector m_pause;
+    PauseDetector m_pauseDetector;
     std::map<FlowId, Flow> m_flows;
     std::map<RequestId, Work> m_work;
     std::map<UpstreamId, RedirectMessage> m_redirectsToSend;
--- a/bench/libmodel/modelagentwork.cpp
+++ b/bench/libmodel/modelagentwork.cpp
@@ -135,8 +135,8 @@
 void ModelAgent::startNext()
 {
     const Millis now = m_context.loop.nowMillis();
-    if (isDroppingPackets(m_pause, now))
-        return schedule(toMicros(m_pause.dropUntil - now), [this] { startNext(); });
+    if (isDroppingPackets(m_pauseDetector, now))
+        return schedule(toMicros(m_pauseDetector.dropUntil - now), [this] { startNext(); });
     for (const RefusedItem& expired : removeExpired(m_admission, admissionOptions(), now))
         refuse(m_work.at(expired.item.id), expired.refusal, LedgerState::NotRun);
     for (const WorkItem& item : dequeueRunnable(m_admission, admissionOptions(), now))
--- a/bench/libmodel/modelbalancer.cpp
+++ b/bench/libmodel/modelbalancer.cpp
@@ -49,7 +49,7 @@
     m_members.assign(targets, Member { .state = MemberState::Lapsed });
     m_peers.assign(targets, {});
     m_config = {};
-    m_pause = {};
+    m_pauseDetector = {};
     m_placing = m_context.policy.placing;
     m_placing.loadReportInterval = m_context.experiment.deployment.heartbeat;
     rebuildMemberIndex();
@@ -87,9 +87,9 @@
 {
     if (from.kind == EndpointKind::Agent)
         m_peers[from.index].lastReceivedAt = m_context.loop.nowMillis();
-    recordRun(m_pause, m_context.policy.pause, m_context.loop.nowMillis());
+    recordRun(m_pauseDetector, m_context.policy.pause, m_context.loop.nowMillis());
     auto* packet = std::get_if<FlowPacket>(&message);
-    if (packet && isDroppingPackets(m_pause, m_context.loop.nowMillis()))
+    if (packet && isDroppingPackets(m_pauseDetector, m_context.loop.nowMillis()))
         return;
     if (packet)
         receivePacket(from, std::move(*packet));
@@ -328,7 +328,7 @@
 {
     const DeploymentSpec& deployment = m_context.experiment.deployment;
     const Millis now = m_context.loop.nowMillis();
-    recordRun(m_pause, m_context.policy.pause, now);
+    recordRun(m_pauseDetector, m_context.policy.pause, now);
     const auto links = static_cast<std::size_t>(std::ranges::count(m_members, true, &Member::linked));
     const PacingOptions pacing { .baseInterval = deployment.heartbeat };
     const Millis interval = heartbeatInterval(links, pacing);
--- a/bench/libmodel/modelbalancer.h
+++ b/bench/libmodel/modelbalancer.h
@@ -67,7 +67,7 @@
     std::vector<std::size_t> m_firstOfService;
     MemberIndex m_memberIndex;
     ConfigMessage m_config;
-    PauseDetector m_pause;
+    PauseDetector m_pauseDetector;
     PlaceOptions m_placing;
     std::uint64_t m_generation = 0;
 };
--- a/bench/libmodel/seededhistory.cpp
+++ b/bench/libmodel/seededhistory.cpp
@@ -13,7 +13,7 @@
     /// Failures end about this long before the end of the run, so that effects with a bound of several seconds can be observed.
     constexpr Millis failureFreeEnd = 6000;
     /// Less than the link silence of the generated deployments.
-    constexpr Millis maxGap = 500;
+    constexpr Millis pauseThreshold = 500;
     /// Minimum duration of a failure: the shortest time in which an upstream restarts or a data centre is taken out and returned.
     constexpr Millis minFailureDuration = 300;
     constexpr std::size_t minFailures = 3;
@@ -139,7 +139,7 @@
 SeededHistory runSeededHistory(std::uint64_t seed, DisabledGuard guard)
 {
     PolicyOptions policy = withoutGuard(guard);
-    policy.pause.maxGap = maxGap;
+    policy.pause.pauseThreshold = pauseThreshold;
     Simulation simulation(generateExperiment(seed), policy, true);
     simulation.run();
     const auto& events = simulation.history().events();
--- a/src/kingcuptrailctl/openingscommand.cpp
+++ b/src/kingcuptrailctl/openingscommand.cpp
@@ -34,7 +34,7 @@
         return values[std::min(index, values.size() - 1)];
     }
 
-    void takeLine(OpeningSpan& span, const std::string& event, const json& line)
+    void recordLine(OpeningSpan& span, const std::string& event, const json& line)
     {
         if (event == "flowOffered") {
             ++span.offers;
@@ -86,7 +86,7 @@
     const auto failure = readLogs(options, [&](const std::string& text) {
         const json line = logObject(text);
         if (const std::uint64_t time = numberOf(line, "time"); time > 0)
-            takeLine(spans[time / length * length], textOf(line, "name"), line);
+            recordLine(spans[time / length * length], textOf(line, "name"), line);
     });
     if (failure)
         return *failure;
--- a/src/kingcuptraild/agent/agent.cpp
+++ b/src/kingcuptraild/agent/agent.cpp
@@ -136,9 +136,9 @@
 bool Agent::mustDropPackets()
 {
     const Millis now = m_role.clock.now();
-    const Millis previousHoldUntil = m_pauseDetector.dropUntil;
+    const Millis previousDropUntil = m_pauseDetector.dropUntil;
     recordRun(m_pauseDetector, {}, now);
-    if (m_pauseDetector.dropUntil != previousHoldUntil) {
+    if (m_pauseDetector.dropUntil != previousDropUntil) {
         m_requests.refuseWaiting(RefusalReason::ExpectedWaitTooLong);
         m_requests.restartWarmUp();
     }
@@ -282,7 +282,7 @@
 {
     m_flows.sweep();
     if (m_announcer)
-        m_outageLog.update(m_announcer->announcer().lastReason());
+        m_outageLog.update(m_announcer->announcer().lastError());
     tryReturnToService();
     if (m_isDraining)
         drain();
--- a/src/kingcuptraild/agent/flowtable.cpp
+++ b/src/kingcuptraild/agent/flowtable.cpp
@@ -157,7 +157,7 @@
 void FlowTable::deliverMessages(FlowId id)
 {
     while (Flow* flow = find(id)) {
-        const auto payload = flow->endpoint.takeDelivered();
+        const auto payload = flow->endpoint.dequeuePayload();
         if (!payload)
             return;
         flow->idleSince = m_clock.now();
@@ -226,7 +226,7 @@
 
 void FlowTable::flush(Flow& flow)
 {
-    for (const FlowEndpoint::Segment& segment : flow.endpoint.takeDue(m_clock.now())) {
+    for (const FlowEndpoint::Segment& segment : flow.endpoint.collectOutgoing(m_clock.now())) {
         wire::PacketT packet;
         packet.kind = wire::PacketKind::Segment;
         packet.sequence = segment.sequence;
--- a/src/kingcuptraild/balancer/balancer.cpp
+++ b/src/kingcuptraild/balancer/balancer.cpp
@@ -336,7 +336,7 @@
 {
     recordRun(m_pauseDetector, {}, m_role.clock.now());
     if (m_presenceWatcher)
-        m_outageLog.update(m_presenceWatcher->lastReason());
+        m_outageLog.update(m_presenceWatcher->lastError());
     m_periodicTimer.expires_after(std::chrono::milliseconds(periodicCheckInterval));
     m_periodicTimer.async_wait([this](asio::error_code error) {
         if (!error)
--- a/src/kingcuptraild/daemon.cpp
+++ b/src/kingcuptraild/daemon.cpp
@@ -43,7 +43,7 @@
 
     /// How long the store's host may stay silent during a call before the call fails, in milliseconds: shorter than the time
     /// within which a change must be known everywhere, and long enough for several keep-alive probes.
-    constexpr Millis storeSilenceLimit = 2000;
+    constexpr Millis storeKeepAliveTimeout = 2000;
     /// Duration of a long poll for changes in the store of a packet deployment, in milliseconds. Long, since each call is
     /// billed.
     constexpr Millis packetWatchWait = 30000;
@@ -71,7 +71,7 @@
         options.dialect = trustAdapter().store;
         options.callTimeout = packetCallTimeout;
         options.watchWait = packetWatchWait;
-        options.keepAliveTimeout = storeSilenceLimit;
+        options.keepAliveTimeout = storeKeepAliveTimeout;
         options.maxRetryDelay = 1000;
         return options;
     }
--- a/src/kingcuptraild/packets/balancerstate.cpp
+++ b/src/kingcuptraild/packets/balancerstate.cpp
@@ -14,7 +14,7 @@
     AgentLoad& load = state.agentLoads[sender];
     const Millis refusesUntil = load.refusesUntil;
     load = message.load;
-    load.heardAt = state.role.clock.now();
+    load.receivedAt = state.role.clock.now();
     load.refusesUntil = refusesUntil;
 }
 
--- a/src/kingcuptraild/packets/connectionadmission.cpp
+++ b/src/kingcuptraild/packets/connectionadmission.cpp
@@ -20,9 +20,9 @@
 void ConnectionAdmission::open(const PeerMessage& message, std::uint32_t sender)
 {
     DecodeError error = DecodeError::None;
-    const auto head = m_state.adapter.decodePacket(message.packet, error);
-    if (!head || !isOpening(*head) || flowFromCaller(*head) != message.flow) {
-        m_state.packetOutcomes.increment(head ? AgentPacketOutcome::Forged : AgentPacketOutcome::Malformed);
+    const auto header = m_state.adapter.decodePacket(message.packet, error);
+    if (!header || !isOpening(*header) || flowFromCaller(*header) != message.flow) {
+        m_state.packetOutcomes.increment(header ? AgentPacketOutcome::Forged : AgentPacketOutcome::Malformed);
         return;
     }
     const Millis now = m_state.role.clock.now();
@@ -40,7 +40,7 @@
     if (refusal == OpeningRefusal::None)
         admit(message.flow, message.packet, sender, 0);
     else if (refusal == OpeningRefusal::Busy && !message.needsFreeSlot)
-        enqueueOpening(message, sender, head->acknowledged);
+        enqueueOpening(message, sender, header->acknowledged);
     else
         refuse(message.flow, message.packet, sender, refusal);
 }
--- a/src/kingcuptraild/packets/connectiondispatcher.cpp
+++ b/src/kingcuptraild/packets/connectiondispatcher.cpp
@@ -88,7 +88,7 @@
     opening.triedAgents.push_back(*next);
     offerTo(*next, flow, opening);
     const AgentLoad& load = m_state.agentLoads[*next];
-    logFlowEvent(Event::FlowOffered, flow, { { "agent", addressText(*next) }, { "service", *service }, { "atWork", load.atWork }, { "loadAge", static_cast<std::uint64_t>(now - load.heardAt) }, { "candidates", ranking.size() }, { "try", opening.triedAgents.size() }, { "version", m_state.network.routes().version } });
+    logFlowEvent(Event::FlowOffered, flow, { { "agent", addressText(*next) }, { "service", *service }, { "atWork", load.atWork }, { "loadAge", static_cast<std::uint64_t>(now - load.receivedAt) }, { "candidates", ranking.size() }, { "try", opening.triedAgents.size() }, { "version", m_state.network.routes().version } });
 }
 
 void ConnectionDispatcher::offerTo(std::uint32_t agent, const FlowKey& flow, PendingOpening& opening)
--- a/src/kingcuptraild/packets/holderfinder.cpp
+++ b/src/kingcuptraild/packets/holderfinder.cpp
@@ -38,7 +38,7 @@
 
 // A flow is missing from the cache when another balancer opened it, or when this process started after it was opened. All
 // agents of the service are asked; the holder answers within a round trip and gets the packet.
-void HolderFinder::search(const FlowKey& flow, const PacketHeader& head, std::span<const std::uint8_t> packet)
+void HolderFinder::search(const FlowKey& flow, const PacketHeader& header, std::span<const std::uint8_t> packet)
 {
     if (m_searches.size() >= maxSearches) {
         m_state.packetOutcomes.increment(CallerPacketOutcome::SearchFull);
@@ -46,7 +46,7 @@
     }
     const auto [found, isNew] = m_searches.try_emplace(flow);
     PendingSearch& waiting = found->second;
-    waiting.acknowledged = head.acknowledged;
+    waiting.acknowledged = header.acknowledged;
     if (waiting.packets.size() < maxPacketsPerSearch)
         waiting.packets.push_back(copyPacket(packet));
     m_state.packetOutcomes.increment(CallerPacketOutcome::Waiting);
@@ -335,8 +335,8 @@
         // The cached holder has sent the packet back, so a new search starts with it.
         if (wasCached && found == m_searches.end() && !message.packet.empty()) {
             DecodeError error = DecodeError::None;
-            if (const auto head = m_state.adapter.decodePacket(message.packet, error))
-                search(message.flow, *head, message.packet);
+            if (const auto header = m_state.adapter.decodePacket(message.packet, error))
+                search(message.flow, *header, message.packet);
             return;
         }
     }
--- a/src/kingcuptraild/packets/holderfinder.h
+++ b/src/kingcuptraild/packets/holderfinder.h
@@ -11,7 +11,7 @@
     explicit HolderFinder(BalancerState& state);
 
     /// Starts a search for the holder of a packet's flow, or adds the packet to the search that is already running.
-    void search(const FlowKey& flow, const PacketHeader& head, std::span<const std::uint8_t> packet);
+    void search(const FlowKey& flow, const PacketHeader& header, std::span<const std::uint8_t> packet);
     /// Handle an agent's answer for itself, and a delegate's answer for all agents of its data centre.
     void handleHolderAnswer(const PeerMessage& message, std::uint32_t sender);
     void handleDelegatedAnswer(const PeerMessage& message, std::uint32_t sender);
--- a/src/kingcuptraild/packets/packetagent.cpp
+++ b/src/kingcuptraild/packets/packetagent.cpp
@@ -127,15 +127,15 @@
 void PacketAgent::handleForward(const PeerMessage& message, std::uint32_t sender)
 {
     DecodeError error = DecodeError::None;
-    const auto head = m_state.adapter.decodePacket(message.packet, error);
-    if (!head || flowFromCaller(*head) != message.flow) {
-        m_state.packetOutcomes.increment(head ? AgentPacketOutcome::Forged : AgentPacketOutcome::Malformed);
+    const auto header = m_state.adapter.decodePacket(message.packet, error);
+    if (!header || flowFromCaller(*header) != message.flow) {
+        m_state.packetOutcomes.increment(header ? AgentPacketOutcome::Forged : AgentPacketOutcome::Malformed);
         return;
     }
     const Millis now = m_state.role.clock.now();
     const std::uint32_t index = markOf(m_state, sender);
     const std::uint64_t requestsBefore = m_state.flows.requests;
-    const CallerPacketAction action = trackCallerPacket(m_state.flows, message.flow, *head, now);
+    const CallerPacketAction action = trackCallerPacket(m_state.flows, message.flow, *header, now);
     if (m_state.flows.requests != requestsBefore)
         recordRequest(m_state.health, now);
     const bool isProbe = message.kind == wire::PeerKind::Probe;
@@ -146,7 +146,7 @@
         break;
     case CallerPacketAction::DeliverToLearn:
         m_state.packetOutcomes.increment(AgentPacketOutcome::DeliveredToLearn);
-        m_learning.beginCheck(message.flow, { .requester = sender, .since = now, .isProbe = isProbe, .acknowledged = head->acknowledged });
+        m_learning.beginCheck(message.flow, { .requester = sender, .since = now, .isProbe = isProbe, .acknowledged = header->acknowledged });
         deliverToUpstream(m_state, message.packet, index);
         break;
     case CallerPacketAction::NotHeld:
@@ -169,37 +169,37 @@
 void PacketAgent::handleUpstreamDatagram(std::span<std::uint8_t> packet)
 {
     DecodeError error = DecodeError::None;
-    const auto head = m_state.adapter.decodePacket(packet, error);
-    if (!head) {
+    const auto header = m_state.adapter.decodePacket(packet, error);
+    if (!header) {
         m_state.packetOutcomes.increment(AgentPacketOutcome::Malformed);
         return;
     }
-    if (head->flags.isReturned) {
-        handleReturned(flowFromCaller(*head), packet, *head);
+    if (header->flags.isReturned) {
+        handleReturned(flowFromCaller(*header), packet, *header);
         return;
     }
-    const FlowKey flow = flowFromUpstream(*head);
+    const FlowKey flow = flowFromUpstream(*header);
     const Millis now = m_state.role.clock.now();
-    const UpstreamPacketEffect news = trackUpstreamPacket(m_state.flows, flow, *head, now);
-    updateHealth(news, now);
+    const UpstreamPacketEffect effect = trackUpstreamPacket(m_state.flows, flow, *header, now);
+    updateHealth(effect, now);
     if (const auto check = m_learning.finishCheck(flow)) {
-        const bool isHeld = !head->flags.resets;
+        const bool isHeld = !header->flags.resets;
         sendReply(m_state, check->requester, { .kind = isHeld ? wire::PeerKind::Held : wire::PeerKind::NotHeld, .flow = flow });
     }
-    if (news.isLearnt)
+    if (effect.isLearnt)
         logFlowEvent(Event::FlowLearnt, flow, { { "open", m_state.flows.open } });
     m_state.packetOutcomes.increment(AgentPacketOutcome::ToCaller);
     m_state.network.sendPacket(packet, { asio::ip::address_v4(flow.caller.address), m_state.role.settings.packets.ingress.port() });
     m_admission.admitWaiting();
 }
 
-void PacketAgent::updateHealth(const UpstreamPacketEffect& news, Millis now)
+void PacketAgent::updateHealth(const UpstreamPacketEffect& effect, Millis now)
 {
-    if (news.isRequestAnswered) {
+    if (effect.isRequestAnswered) {
         if (m_state.health.isFailing)
             logEvent(Event::UpstreamAnswersAgain, { { "after", static_cast<std::uint64_t>(now - m_state.health.failedAt) }, { "brokenOff", m_state.health.failures } });
         recordAnswered(m_state.health);
-    } else if (news.isRequestAborted && recordAborted(m_state.health, now)) {
+    } else if (effect.isRequestAborted && recordAborted(m_state.health, now)) {
         logEvent(Event::UpstreamFailing, { { "reason", "brokenOff" }, { "unanswered", m_state.health.unanswered }, { "brokenOff", m_state.health.failures }, { "atWork", m_state.flows.atWork }, { "reportAge", static_cast<std::uint64_t>(now - m_state.flowAdmission.reportedAt) } });
     }
 }
@@ -216,17 +216,17 @@
 
 // The upstream has returned a packet because it does not hold the flow or cannot accept it. This overrides the agent's own
 // flow table.
-void PacketAgent::handleReturned(const FlowKey& flow, std::span<std::uint8_t> packet, const PacketHeader& head)
+void PacketAgent::handleReturned(const FlowKey& flow, std::span<std::uint8_t> packet, const PacketHeader& header)
 {
     m_state.packetOutcomes.increment(AgentPacketOutcome::Returned);
     forgetFlow(m_state.flows, flow);
     const auto check = m_learning.finishCheck(flow);
     const bool isProbe = check && check->isProbe;
-    if (head.mark == 0 || head.mark > m_state.senders.size())
+    if (header.mark == 0 || header.mark > m_state.senders.size())
         return;
-    const std::uint32_t sender = m_state.senders[head.mark - 1];
+    const std::uint32_t sender = m_state.senders[header.mark - 1];
     m_state.adapter.clearMarks(packet);
-    if (isOpening(head)) {
+    if (isOpening(header)) {
         m_state.refusals.increment(OpeningRefusal::Returned);
         logFlowEvent(Event::OpeningRefused, flow, { { "reason", nameOf(OpeningRefusal::Returned) }, { "atWork", m_state.flows.atWork }, { "open", m_state.flows.open } });
         sendReply(m_state, sender, { .kind = wire::PeerKind::Refused, .flow = flow, .refusal = OpeningRefusal::Returned, .packet = packet });
@@ -265,13 +265,13 @@
 void PacketAgent::handleReport(const UpstreamReport& report)
 {
     const Millis now = m_state.role.clock.now();
-    const ReportEffect news = applyReport(m_state.flowAdmission, report, now);
-    m_reports.increment(news);
-    if (news == ReportEffect::Changed || news == ReportEffect::NewProcess)
-        logEvent(Event::UpstreamReported, { { "upstream", report.id }, { "news", nameOf(news) }, { "service", report.service }, { "draining", report.isDraining ? "yes" : "no" }, { "born", report.born }, { "sequence", report.sequence }, { "coldLeft", static_cast<std::uint64_t>(report.coldLeft) } });
-    if (news != ReportEffect::Stale)
-        recordReport(m_untrackedFlows, report, news == ReportEffect::NewProcess);
-    if (news == ReportEffect::NewProcess)
+    const ReportEffect effect = applyReport(m_state.flowAdmission, report, now);
+    m_reports.increment(effect);
+    if (effect == ReportEffect::Changed || effect == ReportEffect::NewProcess)
+        logEvent(Event::UpstreamReported, { { "upstream", report.id }, { "news", nameOf(effect) }, { "service", report.service }, { "draining", report.isDraining ? "yes" : "no" }, { "born", report.born }, { "sequence", report.sequence }, { "coldLeft", static_cast<std::uint64_t>(report.coldLeft) } });
+    if (effect != ReportEffect::Stale)
+        recordReport(m_untrackedFlows, report, effect == ReportEffect::NewProcess);
+    if (effect == ReportEffect::NewProcess)
         resetLostFlows();
     m_state.flows.isComplete = knowsEveryFlow(m_untrackedFlows);
     announceState();
@@ -386,7 +386,7 @@
     m_lastSentLoad = m_state.smoothedLoad;
     m_loadSentAt = now;
     std::erase_if(m_activeBalancers, [now](const auto& item) { return now - item.second > balancerIdleLimit; });
-    for (const auto& [balancer, heardAt] : m_activeBalancers)
+    for (const auto& [balancer, receivedAt] : m_activeBalancers)
         sendReply(m_state, balancer, { .kind = wire::PeerKind::Load });
 }
 
--- a/src/kingcuptraild/packets/packetagent.h
+++ b/src/kingcuptraild/packets/packetagent.h
@@ -27,9 +27,9 @@
     void handleFind(const PeerMessage& message, std::uint32_t sender);
 
     void handleUpstreamDatagram(std::span<std::uint8_t> packet);
-    void updateHealth(const UpstreamPacketEffect& news, Millis now);
+    void updateHealth(const UpstreamPacketEffect& effect, Millis now);
     void checkUnansweredRequests(Millis now);
-    void handleReturned(const FlowKey& flow, std::span<std::uint8_t> packet, const PacketHeader& head);
+    void handleReturned(const FlowKey& flow, std::span<std::uint8_t> packet, const PacketHeader& header);
 
     HttpResponse handleUpstreamRequest(const HttpRequest& request);
     void handleReport(const UpstreamReport& report);
--- a/src/kingcuptraild/packets/packetbalancer.cpp
+++ b/src/kingcuptraild/packets/packetbalancer.cpp
@@ -78,28 +78,28 @@
 {
     m_lastCallerPacketAt = m_state.role.clock.now();
     DecodeError error = DecodeError::None;
-    const auto head = m_state.adapter.decodePacket(packet, error);
-    if (!head) {
+    const auto header = m_state.adapter.decodePacket(packet, error);
+    if (!header) {
         m_state.packetOutcomes.increment(CallerPacketOutcome::Malformed);
         return;
     }
     // Only upstreams acknowledge openings or return packets, so a caller cannot have sent these.
-    if ((head->flags.opens && head->flags.acknowledges) || head->flags.isReturned) {
+    if ((header->flags.opens && header->flags.acknowledges) || header->flags.isReturned) {
         m_state.packetOutcomes.increment(CallerPacketOutcome::Forged);
         return;
     }
-    const FlowKey flow = flowFromCaller(*head);
-    if (isOpening(*head))
-        m_dispatcher.open(flow, head->acknowledged, packet);
+    const FlowKey flow = flowFromCaller(*header);
+    if (isOpening(*header))
+        m_dispatcher.open(flow, header->acknowledged, packet);
     else
-        handleFlowPacket(flow, *head, packet);
+        handleFlowPacket(flow, *header, packet);
 }
 
-void PacketBalancer::handleFlowPacket(const FlowKey& flow, const PacketHeader& head, std::span<const std::uint8_t> packet)
+void PacketBalancer::handleFlowPacket(const FlowKey& flow, const PacketHeader& header, std::span<const std::uint8_t> packet)
 {
     const auto holder = m_state.holderCache.find(flow);
     if (holder == m_state.holderCache.end()) {
-        m_holderFinder.search(flow, head, packet);
+        m_holderFinder.search(flow, header, packet);
         return;
     }
     holder->second.usedAt = m_state.role.clock.now();
@@ -265,7 +265,7 @@
         { "ready", isReady() },
         { "leaving", m_isShuttingDown },
         { "followsStore", m_store != nullptr },
-        { "platformTrouble", nameOf(m_store ? m_store->lastReason() : PlatformError::None) },
+        { "platformTrouble", nameOf(m_store ? m_store->lastError() : PlatformError::None) },
     };
     const std::string text = status.dump();
     return text.substr(1, text.size() - 2);
--- a/src/kingcuptraild/packets/packetbalancer.h
+++ b/src/kingcuptraild/packets/packetbalancer.h
@@ -21,7 +21,7 @@
 
 private:
     void handleCallerDatagram(std::span<std::uint8_t> packet);
-    void handleFlowPacket(const FlowKey& flow, const PacketHeader& head, std::span<const std::uint8_t> packet);
+    void handleFlowPacket(const FlowKey& flow, const PacketHeader& header, std::span<const std::uint8_t> packet);
     void handleFlowMessage(const PeerMessage& message, std::uint32_t sender);
     void tick();
     void pingUnresponsiveAgents(Millis now);
--- a/src/kingcuptraild/packets/peernetwork.cpp
+++ b/src/kingcuptraild/packets/peernetwork.cpp
@@ -333,11 +333,11 @@
 
 void PeerNetwork::sendGossip(std::uint32_t address, const std::vector<PeerEntry>& changed, bool wantsAnswer)
 {
-    GossipMessage news { .configVersion = m_view.routes.version, .digest = m_digest, .agentsDigest = m_agentsDigest, .outages = &m_view.outages, .entries = changed, .readers = currentHeartbeats(m_readers, m_clock.now()), .wantsAnswer = wantsAnswer };
-    std::erase_if(news.entries, [](const PeerEntry& entry) { return entry.name.empty(); });
-    if (news.entries.size() > maxEntriesPerMessage)
-        news.entries.resize(maxEntriesPerMessage);
-    m_socket->send(m_encoder.encode(news), peerEndpoint(address));
+    GossipMessage gossip { .configVersion = m_view.routes.version, .digest = m_digest, .agentsDigest = m_agentsDigest, .outages = &m_view.outages, .entries = changed, .readers = currentHeartbeats(m_readers, m_clock.now()), .wantsAnswer = wantsAnswer };
+    std::erase_if(gossip.entries, [](const PeerEntry& entry) { return entry.name.empty(); });
+    if (gossip.entries.size() > maxEntriesPerMessage)
+        gossip.entries.resize(maxEntriesPerMessage);
+    m_socket->send(m_encoder.encode(gossip), peerEndpoint(address));
 }
 
 // No search can end with a flow declared lost while directories differ. The bytes of a comparison grow with the difference and
--- a/src/kingcuptraild/packets/storefollower.cpp
+++ b/src/kingcuptraild/packets/storefollower.cpp
@@ -43,11 +43,11 @@
 {
 }
 
-PlatformError StoreFollower::lastReason() const
+PlatformError StoreFollower::lastError() const
 {
     for (const KindWatcher* watcher : { &m_routes, &m_outages, &m_agents, &m_livenessCheck }) {
-        if (watcher->lastReason() != PlatformError::None)
-            return watcher->lastReason();
+        if (watcher->lastError() != PlatformError::None)
+            return watcher->lastError();
     }
     return PlatformError::None;
 }
@@ -134,7 +134,7 @@
 {
     recordStoreAnswer();
     std::vector<PeerEntry> entries;
-    std::map<std::string, ObjectVersion> leftBehind;
+    std::map<std::string, ObjectVersion> staleListings;
     for (const PlatformObject& object : objects.objects) {
         const auto entry = object.value ? parsePeerEntry(*object.value) : std::nullopt;
         if (!entry || entry->name != object.name) {
@@ -143,30 +143,30 @@
         }
         entries.push_back(*entry);
         if (isStaleListing(m_network.directory(), *entry))
-            leftBehind[object.name] = object.version;
+            staleListings[object.name] = object.version;
     }
     m_network.updateEntries(entries);
-    removeLeftBehind(leftBehind);
+    removeStaleListings(staleListings);
 }
 
 // Removes only entries that two consecutive listings show with the same version: an agent that leaves withdraws its entry
 // itself within seconds, and a listing may be some seconds old. The version condition keeps an entry that was written again.
-void StoreFollower::removeLeftBehind(const std::map<std::string, ObjectVersion>& leftBehind)
+void StoreFollower::removeStaleListings(const std::map<std::string, ObjectVersion>& staleListings)
 {
-    for (const auto& [name, version] : leftBehind) {
-        const auto before = m_leftBehind.find(name);
-        if (before == m_leftBehind.end() || before->second != version)
+    for (const auto& [name, version] : staleListings) {
+        const auto before = m_staleListings.find(name);
+        if (before == m_staleListings.end() || before->second != version)
             continue;
         m_removalClient.remove(agentKind, name, version, [peer = name](const std::optional<ObjectVersion>&, PlatformError reason) {
             logEvent(Event::LeftBehindRemoved, { { "peer", peer }, { "outcome", nameOf(reason) } });
         });
     }
-    m_leftBehind = leftBehind;
+    m_staleListings = staleListings;
 }
 
 void StoreFollower::recordStoreFailure()
 {
-    const PlatformError reason = lastReason();
+    const PlatformError reason = lastError();
     if (reason == PlatformError::None || m_loggedError != PlatformError::None)
         return;
     m_loggedError = reason;
--- a/src/kingcuptraild/packets/storefollower.h
+++ b/src/kingcuptraild/packets/storefollower.h
@@ -22,7 +22,7 @@
     bool isCurrent() const { return m_routes.isCurrent() && m_outages.isCurrent() && m_livenessCheck.isCurrent(); }
 
     /// The last failure of the first watcher that has one, or None.
-    PlatformError lastReason() const;
+    PlatformError lastError() const;
     std::uint64_t callsMade() const;
 
 private:
@@ -33,7 +33,7 @@
     void updateRoutes(const ObjectList& objects);
     void updateOutages(const ObjectList& changes);
     void updateAgents(const ObjectList& objects);
-    void removeLeftBehind(const std::map<std::string, ObjectVersion>& leftBehind);
+    void removeStaleListings(const std::map<std::string, ObjectVersion>& staleListings);
     void recordStoreFailure();
     void recordStoreAnswer();
 
@@ -50,7 +50,7 @@
     KindWatcher m_livenessCheck;
     bool m_isUnresponsive = false;
     /// Entries of processes that are gone, with their versions, as of the last listing.
-    std::map<std::string, ObjectVersion> m_leftBehind;
+    std::map<std::string, ObjectVersion> m_staleListings;
     PlatformClient m_removalClient;
 };
 
--- a/src/kingcuptraild/platformoutagelog.cpp
+++ b/src/kingcuptraild/platformoutagelog.cpp
@@ -4,13 +4,13 @@
 
 namespace kingcuptrail {
 
-void PlatformOutageLog::update(PlatformError lastReason)
+void PlatformOutageLog::update(PlatformError lastError)
 {
     const bool wasFailing = m_current != PlatformError::None;
-    const bool isFailing = lastReason != PlatformError::None;
-    m_current = lastReason;
+    const bool isFailing = lastError != PlatformError::None;
+    m_current = lastError;
     if (isFailing && !wasFailing)
-        logEvent(Event::PlatformTrouble, { { "reason", nameOf(lastReason) } });
+        logEvent(Event::PlatformTrouble, { { "reason", nameOf(lastError) } });
     else if (!isFailing && wasFailing)
         logEvent(Event::PlatformBack);
 }
--- a/src/kingcuptraild/platformoutagelog.h
+++ b/src/kingcuptraild/platformoutagelog.h
@@ -8,7 +8,7 @@
 class PlatformOutageLog {
 public:
     /// Records the error of the last platform call, or None.
-    void update(PlatformError lastReason);
+    void update(PlatformError lastError);
 
     /// The error of the current outage, or None.
     PlatformError current() const { return m_current; }
--- a/src/kingcuptraild/watchers.h
+++ b/src/kingcuptraild/watchers.h
@@ -33,7 +33,7 @@
     {
     }
 
-    PlatformError lastReason() const { return m_watcher.lastReason(); }
+    PlatformError lastError() const { return m_watcher.lastError(); }
 
 private:
     PresenceWatcher m_watcher;
--- a/src/libcaller/caller.cpp
+++ b/src/libcaller/caller.cpp
@@ -36,14 +36,14 @@
 {
     timerExpiresAt.reset();
     const Millis now = clock.now();
-    while (const auto id = callWakes.takeDue(now)) {
+    while (const auto id = callWakes.dequeueDue(now)) {
         PendingCall& call = calls[*id];
         if (now >= call.progress.deadline)
             abandonCall(*id, true);
         else
             startTry(*id, call);
     }
-    while (const auto id = flowWakes.takeDue(now))
+    while (const auto id = flowWakes.dequeueDue(now))
         pump(*flows[*id]);
     armTimer();
 }
--- a/src/libcaller/callercalls.cpp
+++ b/src/libcaller/callercalls.cpp
@@ -178,7 +178,7 @@
         .retryAfter = call.lastRetryAfter,
     };
     if (outcome == CallOutcome::AnswerWhole)
-        result.body = call.answer->takeBody();
+        result.body = call.answer->extractBody();
     if (call.handlers.onDone)
         asio::post(context, [onDone = std::move(call.handlers.onDone), result = std::move(result)]() mutable { onDone(std::move(result)); });
 }
--- a/src/libcaller/callerflow.cpp
+++ b/src/libcaller/callerflow.cpp
@@ -18,21 +18,21 @@
         std::uint32_t acknowledged = 0;
     };
 
-    Bytes encodePacket(const PacketHeader& head, const Bytes* payload)
+    Bytes encodePacket(const PacketHeader& header, const Bytes* payload)
     {
         flatbuffers::FlatBufferBuilder builder(packetOverheadBytes + (payload ? payload->size() : 0));
         flatbuffers::Offset<flatbuffers::Vector<std::uint8_t>> bytes;
         if (payload)
             bytes = builder.CreateVector(*payload);
         wire::PacketBuilder packet(builder);
-        packet.add_kind(head.kind);
-        packet.add_service(head.service);
-        packet.add_flow(head.flow);
-        packet.add_source(head.source);
-        packet.add_owner_upstream(head.owner.upstream);
-        packet.add_owner_incarnation(head.owner.incarnation);
-        packet.add_sequence(head.sequence);
-        packet.add_acknowledged(head.acknowledged);
+        packet.add_kind(header.kind);
+        packet.add_service(header.service);
+        packet.add_flow(header.flow);
+        packet.add_source(header.source);
+        packet.add_owner_upstream(header.owner.upstream);
+        packet.add_owner_incarnation(header.owner.incarnation);
+        packet.add_sequence(header.sequence);
+        packet.add_acknowledged(header.acknowledged);
         if (payload)
             packet.add_payload(bytes);
         const auto body = packet.Finish();
@@ -155,7 +155,7 @@
     m_end = end;
 }
 
-std::vector<Bytes> CallerFlow::takeDue(Millis now)
+std::vector<Bytes> CallerFlow::collectOutgoing(Millis now)
 {
     std::vector<Bytes> frames;
     for (const OwnerToken& token : std::exchange(m_pendingCloses, {}))
@@ -184,7 +184,7 @@
 
 void CallerFlow::appendSegments(std::vector<Bytes>& frames, Millis now)
 {
-    for (const FlowEndpoint::Segment& segment : m_endpoint.takeDue(now)) {
+    for (const FlowEndpoint::Segment& segment : m_endpoint.collectOutgoing(now)) {
         frames.push_back(frame(wire::PacketKind::Segment, m_owner, &segment));
         m_ackPending = false;
         expectAnswer(now);
@@ -221,7 +221,7 @@
         m_unansweredSince = now;
 }
 
-std::optional<Millis> CallerFlow::nextDue() const
+std::optional<Millis> CallerFlow::nextDueTime() const
 {
     if (!m_pendingCloses.empty())
         return 0;
@@ -232,7 +232,7 @@
     if (m_ackPending)
         return 0;
     Millis due = m_probeDue;
-    if (const auto segment = m_endpoint.nextDue())
+    if (const auto segment = m_endpoint.nextDueTime())
         due = std::min(due, *segment);
     if (m_unansweredSince)
         due = std::min(due, *m_unansweredSince + (m_isSuspect ? m_options.silenceLimit : m_options.suspectAfter));
--- a/src/libcaller/callerflow.h
+++ b/src/libcaller/callerflow.h
@@ -103,26 +103,26 @@
     bool send(Bytes payload);
 
     /// The next payload from the peer in order, or nothing.
-    std::optional<Bytes> takeDelivered() { return m_endpoint.takeDelivered(); }
+    std::optional<Bytes> dequeuePayload() { return m_endpoint.dequeuePayload(); }
 
     /// Returns the frames to send now. Also advances the timers: repeats open packets and probes, and ends a flow that has
     /// been silent for too long.
-    std::vector<Bytes> takeDue(Millis now);
+    std::vector<Bytes> collectOutgoing(Millis now);
 
-    /// The latest time at which takeDue() must be called, if nothing else happens; not set once the flow has ended.
-    std::optional<Millis> nextDue() const;
+    /// The latest time at which collectOutgoing() must be called, if nothing else happens; not set once the flow has ended.
+    std::optional<Millis> nextDueTime() const;
 
     /// Reports that the link is up again: an open packet, which may have been lost with the old link, is repeated at once.
     void handlePathUp(Millis now);
 
-    /// Ends the flow. The next takeDue() returns a close packet for its owner.
+    /// Ends the flow. The next collectOutgoing() returns a close packet for its owner.
     void close();
 
     FlowId id() const { return m_options.flow; }
     ServiceAddress service() const { return m_options.service; }
     FlowState state() const { return m_state; }
     CallerFlowEnd end() const { return m_end; }
-    /// Whether no packet had arrived for suspectAfter at the last takeDue().
+    /// Whether no packet had arrived for suspectAfter at the last collectOutgoing().
     bool isSuspect() const { return m_isSuspect; }
     /// The reason given by the reset that ended the flow.
     RefusalReason lastReason() const { return m_lastReason; }
--- a/src/libcaller/callerflows.cpp
+++ b/src/libcaller/callerflows.cpp
@@ -116,7 +116,7 @@
     const Millis now = clock.now();
     for (const auto& [id, flow] : flows) {
         flow->flow.handlePathUp(now);
-        flowWakes.set(id, flow->flow.nextDue());
+        flowWakes.set(id, flow->flow.nextDueTime());
     }
     armTimer();
 }
@@ -132,7 +132,7 @@
         return;
     }
     flow->flow.receive(packet, clock.now());
-    while (const auto payload = flow->flow.takeDelivered()) {
+    while (const auto payload = flow->flow.dequeuePayload()) {
         if (const auto* message = decodeMessage(*payload))
             handleMessage(*message);
         else
@@ -163,7 +163,7 @@
     // Messages are queued only once the owner is known, so a flow that no agent accepted has carried no request.
     if (flow.flow.state() == FlowState::Open)
         queueMessages(flow);
-    for (Bytes& frame : flow.flow.takeDue(clock.now()))
+    for (Bytes& frame : flow.flow.collectOutgoing(clock.now()))
         link.send(std::move(frame));
 }
 
@@ -179,7 +179,7 @@
         retryCallsOfSuspectFlow(flow);
         sendDue(flow);
     }
-    flowWakes.set(id, flow.flow.nextDue());
+    flowWakes.set(id, flow.flow.nextDueTime());
     if (flow.flow.state() == FlowState::Ended)
         handleFlowEnd(flow);
     armTimer();
--- a/src/libcaller/requestcall.h
+++ b/src/libcaller/requestcall.h
@@ -116,7 +116,7 @@
     /// Whether the answer is a stream; before its head, whether one is expected.
     bool isStream() const { return m_expectsStream; }
     std::uint64_t received() const { return m_received; }
-    std::string takeBody() { return std::move(m_body); }
+    std::string extractBody() { return std::move(m_body); }
 
 private:
     void fail(AnswerFault fault);
--- a/src/libcaller/wakequeue.h
+++ b/src/libcaller/wakequeue.h
@@ -32,7 +32,7 @@
     }
 
     /// Removes and returns one key whose wake-up time is not after `now`.
-    std::optional<Key> takeDue(Millis now)
+    std::optional<Key> dequeueDue(Millis now)
     {
         if (m_order.empty() || m_order.begin()->first > now)
             return std::nullopt;
--- a/src/libdecision/agentchoice.h
+++ b/src/libdecision/agentchoice.h
@@ -19,7 +19,7 @@
     /// balancers, and choosing by it would send all balancers to the same agent at once.
     float usual = 0;
     bool isCold = false;
-    Millis heardAt = 0;
+    Millis receivedAt = 0;
     /// Openings that this balancer has sent to the agent since its last load report.
     std::uint32_t sentSinceReport = 0;
     /// Consecutive opening packets that the agent did not answer.
--- a/src/libdecision/agentflows.cpp
+++ b/src/libdecision/agentflows.cpp
@@ -101,27 +101,27 @@
     flow.lastPacketAt = now;
 }
 
-CallerPacketAction trackCallerPacket(AgentFlows& table, const FlowKey& key, const PacketHeader& head, Millis now)
+CallerPacketAction trackCallerPacket(AgentFlows& table, const FlowKey& key, const PacketHeader& header, Millis now)
 {
     const auto found = table.flows.find(key);
     if (found == table.flows.end())
         return hasAllFlows(table, now) ? CallerPacketAction::NotHeld : CallerPacketAction::DeliverToLearn;
     AgentFlow& flow = found->second;
     if (flow.phase == FlowPhase::Opening) {
-        if (!head.flags.resets && !acknowledgesAnswerOf(flow, head.acknowledged))
+        if (!header.flags.resets && !acknowledgesAnswerOf(flow, header.acknowledged))
             return CallerPacketAction::NotHeld;
         setPhase(table, flow, FlowPhase::Open);
     }
     flow.lastPacketAt = now;
-    if (head.flags.acknowledges)
-        flow.callerAcknowledged = head.acknowledged;
-    const bool isNewData = advanceCallerSentEnd(flow, head.sequence + head.dataLength) && head.dataLength > 0;
+    if (header.flags.acknowledges)
+        flow.callerAcknowledged = header.acknowledged;
+    const bool isNewData = advanceCallerSentEnd(flow, header.sequence + header.dataLength) && header.dataLength > 0;
     table.requests += isNewData && !flow.hasRequest ? 1 : 0;
     flow.hasRequest = flow.hasRequest || isNewData;
     if (isNewData && flow.phase == FlowPhase::Open)
         countWork(table, key, flow, now + table.options.requestWorkTime);
-    flow.callerEnded = flow.callerEnded || head.flags.ends;
-    if (head.flags.resets || (flow.callerEnded && flow.upstreamEnded))
+    flow.callerEnded = flow.callerEnded || header.flags.ends;
+    if (header.flags.resets || (flow.callerEnded && flow.upstreamEnded))
         setPhase(table, flow, FlowPhase::Closed);
     return CallerPacketAction::Deliver;
 }
@@ -139,13 +139,13 @@
     return std::nullopt;
 }
 
-UpstreamPacketEffect trackUpstreamPacket(AgentFlows& table, const FlowKey& key, const PacketHeader& head, Millis now)
+UpstreamPacketEffect trackUpstreamPacket(AgentFlows& table, const FlowKey& key, const PacketHeader& header, Millis now)
 {
-    UpstreamPacketEffect effect { .isAnswer = head.flags.opens && head.flags.acknowledges };
+    UpstreamPacketEffect effect { .isAnswer = header.flags.opens && header.flags.acknowledges };
     auto found = table.flows.find(key);
     if (found == table.flows.end()) {
         // A reset of an unknown flow means that the upstream does not hold it.
-        if (head.flags.resets)
+        if (header.flags.resets)
             return effect;
         found = table.flows.try_emplace(key).first;
         found->second.openedAt = now;
@@ -154,21 +154,21 @@
     AgentFlow& flow = found->second;
     flow.lastPacketAt = now;
     if (effect.isAnswer)
-        flow.answerSequence = head.sequence;
+        flow.answerSequence = header.sequence;
     else if (flow.phase == FlowPhase::Opening)
         setPhase(table, flow, FlowPhase::Open);
-    if (head.flags.acknowledges)
-        advanceCallerSentEnd(flow, head.acknowledged);
+    if (header.flags.acknowledges)
+        advanceCallerSentEnd(flow, header.acknowledged);
     if (effect.isLearnt)
-        flow.callerAcknowledged = head.sequence;
-    effect.isRequestAnswered = flow.hasRequest && head.dataLength > 0;
-    effect.isRequestAborted = flow.hasRequest && head.flags.resets;
-    if (head.dataLength > 0) {
+        flow.callerAcknowledged = header.sequence;
+    effect.isRequestAnswered = flow.hasRequest && header.dataLength > 0;
+    effect.isRequestAborted = flow.hasRequest && header.flags.resets;
+    if (header.dataLength > 0) {
         flow.hasRequest = false;
         clearWork(table, flow);
     }
-    flow.upstreamEnded = flow.upstreamEnded || head.flags.ends;
-    if (head.flags.resets || (flow.callerEnded && flow.upstreamEnded))
+    flow.upstreamEnded = flow.upstreamEnded || header.flags.ends;
+    if (header.flags.resets || (flow.callerEnded && flow.upstreamEnded))
         setPhase(table, flow, FlowPhase::Closed);
     return effect;
 }
--- a/src/libdecision/packet.h
+++ b/src/libdecision/packet.h
@@ -68,21 +68,21 @@
 };
 
 /// The flow of a packet that a caller sent.
-inline FlowKey flowFromCaller(const PacketHeader& head)
+inline FlowKey flowFromCaller(const PacketHeader& header)
 {
-    return { .caller = head.source, .service = head.destination };
+    return { .caller = header.source, .service = header.destination };
 }
 
 /// The flow of a packet that an upstream sent.
-inline FlowKey flowFromUpstream(const PacketHeader& head)
+inline FlowKey flowFromUpstream(const PacketHeader& header)
 {
-    return { .caller = head.destination, .service = head.source };
+    return { .caller = header.destination, .service = header.source };
 }
 
 /// Whether a caller's packet opens a new flow.
-inline bool isOpening(const PacketHeader& head)
+inline bool isOpening(const PacketHeader& header)
 {
-    return head.flags.opens && !head.flags.acknowledges;
+    return header.flags.opens && !header.flags.acknowledges;
 }
 
 }
--- a/src/libdecision/pausedetector.cpp
+++ b/src/libdecision/pausedetector.cpp
@@ -7,7 +7,7 @@
 // there. So after a pause the process reads its links and drops the packets; their senders resend them.
 void recordRun(PauseDetector& detector, const PauseDetectorOptions& options, Millis now)
 {
-    const bool wasPaused = detector.lastRun && now - *detector.lastRun > options.maxGap;
+    const bool wasPaused = detector.lastRun && now - *detector.lastRun > options.pauseThreshold;
     detector.lastRun = now;
     if (wasPaused && options.guard)
         detector.dropUntil = now + options.dropTime;
--- a/src/libdecision/pausedetector.h
+++ b/src/libdecision/pausedetector.h
@@ -9,7 +9,7 @@
 struct PauseDetectorOptions {
     /// A process that did not run for longer than this counts as paused, in milliseconds. Several intervals of its timer,
     /// and less than the silence after which peers close its links.
-    Millis maxGap = 1000;
+    Millis pauseThreshold = 1000;
     /// How long packets are dropped after a pause, in milliseconds. Long enough to read what is queued on every link, and
     /// for links that peers have closed to be reconnected and to deliver the current state.
     Millis dropTime = 1000;
--- a/src/libhttp/httpclient.cpp
+++ b/src/libhttp/httpclient.cpp
@@ -88,7 +88,7 @@
         void fail(HttpError error);
         void finish(std::optional<HttpResponse> response, HttpError error);
         void end();
-        HttpResponse takeHead();
+        HttpResponse extractHead();
 
         asio::ip::tcp::socket m_socket;
         asio::steady_timer m_deadline;
@@ -121,7 +121,7 @@
             m_reader.setExpectsNoBody();
         HttpMessageReader::Handlers handlers;
         handlers.onHead = [this] {
-            m_response = takeHead();
+            m_response = extractHead();
             if (m_handlers.onHead)
                 m_handlers.onHead(m_response);
         };
@@ -244,7 +244,7 @@
         });
     }
 
-    HttpResponse Call::takeHead()
+    HttpResponse Call::extractHead()
     {
         return { .status = m_reader.status(), .headers = std::move(m_reader.headers()), .body = {} };
     }
--- a/src/libplatform/announcer.cpp
+++ b/src/libplatform/announcer.cpp
@@ -100,7 +100,7 @@
     bool isIdle = false;
     bool isWithdrawing = false;
     bool isStopped = false;
-    PlatformError lastReason = PlatformError::None;
+    PlatformError lastError = PlatformError::None;
 };
 
 void Announcer::Private::step()
@@ -253,13 +253,13 @@
 
 void Announcer::Private::retry(PlatformError error)
 {
-    lastReason = error;
+    lastError = error;
     delay.start(backoff.next(), [this] { step(); });
 }
 
 void Announcer::Private::handleSuccess()
 {
-    lastReason = PlatformError::None;
+    lastError = PlatformError::None;
     backoff.reset();
     stepSoon();
 }
@@ -320,9 +320,9 @@
     m_d->stepSoon();
 }
 
-PlatformError Announcer::lastReason() const
+PlatformError Announcer::lastError() const
 {
-    return m_d->lastReason;
+    return m_d->lastError;
 }
 
 }
--- a/src/libplatform/announcer.h
+++ b/src/libplatform/announcer.h
@@ -32,7 +32,7 @@
     /// Removes the announcement. Calls `done` when it is removed, or after `limit` milliseconds without success.
     void withdraw(Millis limit, std::function<void()> done);
 
-    PlatformError lastReason() const;
+    PlatformError lastError() const;
 
 private:
     struct Private;
--- a/src/libplatform/configwatcher.cpp
+++ b/src/libplatform/configwatcher.cpp
@@ -33,7 +33,7 @@
     bool once = false;
     ObjectVersion watchedVersion = 0;
     ConfigVersion reported = 0;
-    PlatformError lastReason = PlatformError::None;
+    PlatformError lastError = PlatformError::None;
 };
 
 void ConfigWatcher::Private::list()
@@ -75,7 +75,7 @@
             newest = parseManifest(*object.value);
     }
     if (!newest || newest->version <= reported) {
-        lastReason = PlatformError::None;
+        lastError = PlatformError::None;
         backoff.reset();
         watchLater();
         return;
@@ -90,7 +90,7 @@
 
 void ConfigWatcher::Private::handleConfig(const Config& config)
 {
-    lastReason = PlatformError::None;
+    lastError = PlatformError::None;
     backoff.reset();
     reported = config.version;
     if (!once)
@@ -102,7 +102,7 @@
 
 void ConfigWatcher::Private::retry(PlatformError error, void (Private::*step)())
 {
-    lastReason = error;
+    lastError = error;
     delay.start(backoff.next(), [this, step] { (this->*step)(); });
 }
 
@@ -114,9 +114,9 @@
 
 ConfigWatcher::~ConfigWatcher() = default;
 
-PlatformError ConfigWatcher::lastReason() const
+PlatformError ConfigWatcher::lastError() const
 {
-    return m_d->lastReason;
+    return m_d->lastError;
 }
 
 }
--- a/src/libplatform/configwatcher.h
+++ b/src/libplatform/configwatcher.h
@@ -21,7 +21,7 @@
     ConfigWatcher(const ConfigWatcher&) = delete;
     ConfigWatcher& operator=(const ConfigWatcher&) = delete;
 
-    PlatformError lastReason() const;
+    PlatformError lastError() const;
 
 private:
     struct Private;
--- a/src/libplatform/kindwatcher.cpp
+++ b/src/libplatform/kindwatcher.cpp
@@ -29,7 +29,7 @@
             return;
         }
         m_since = listed->version;
-        m_lastReason = PlatformError::None;
+        m_lastError = PlatformError::None;
         m_backoff.reset();
         m_handlers.onList(*listed);
         if (m_pollInterval > 0)
@@ -50,7 +50,7 @@
             retry(reason);
             return;
         }
-        m_lastReason = PlatformError::None;
+        m_lastError = PlatformError::None;
         m_backoff.reset();
         m_since = std::max(*m_since, changes->version);
         m_handlers.onChanges(*changes);
@@ -60,7 +60,7 @@
 
 void KindWatcher::retry(PlatformError reason)
 {
-    m_lastReason = reason;
+    m_lastError = reason;
     if (m_handlers.onError)
         m_handlers.onError(reason);
     m_delay.start(m_backoff.next(), [this] {
--- a/src/libplatform/kindwatcher.h
+++ b/src/libplatform/kindwatcher.h
@@ -28,9 +28,9 @@
     void restart();
 
     /// Whether the last call succeeded. The reported objects are then up to date, or at most one poll interval old.
-    bool isCurrent() const { return m_since && m_lastReason == PlatformError::None; }
+    bool isCurrent() const { return m_since && m_lastError == PlatformError::None; }
 
-    PlatformError lastReason() const { return m_lastReason; }
+    PlatformError lastError() const { return m_lastError; }
     std::uint64_t callsMade() const { return m_client.callsMade(); }
 
 private:
@@ -45,7 +45,7 @@
     Backoff m_backoff;
     Millis m_pollInterval;
     std::optional<ObjectVersion> m_since;
-    PlatformError m_lastReason = PlatformError::None;
+    PlatformError m_lastError = PlatformError::None;
 };
 
 }
--- a/src/libplatform/presencewatcher.cpp
+++ b/src/libplatform/presencewatcher.cpp
@@ -297,7 +297,7 @@
 
 PresenceWatcher::~PresenceWatcher() = default;
 
-PlatformError PresenceWatcher::lastReason() const
+PlatformError PresenceWatcher::lastError() const
 {
     return m_d->watchError != PlatformError::None ? m_d->watchError : m_d->leaseError;
 }
--- a/src/libplatform/presencewatcher.h
+++ b/src/libplatform/presencewatcher.h
@@ -24,7 +24,7 @@
     PresenceWatcher(const PresenceWatcher&) = delete;
     PresenceWatcher& operator=(const PresenceWatcher&) = delete;
 
-    PlatformError lastReason() const;
+    PlatformError lastError() const;
 
 private:
     struct Private;
--- a/src/libprotocol/flowendpoint.cpp
+++ b/src/libprotocol/flowendpoint.cpp
@@ -30,7 +30,7 @@
     return true;
 }
 
-std::vector<FlowEndpoint::Segment> FlowEndpoint::takeDue(Millis now)
+std::vector<FlowEndpoint::Segment> FlowEndpoint::collectOutgoing(Millis now)
 {
     std::vector<Segment> due;
     std::size_t position = 0;
@@ -49,7 +49,7 @@
     return due;
 }
 
-std::optional<Millis> FlowEndpoint::nextDue() const
+std::optional<Millis> FlowEndpoint::nextDueTime() const
 {
     std::optional<Millis> next;
     std::size_t position = 0;
@@ -86,7 +86,7 @@
     }
 }
 
-std::optional<Bytes> FlowEndpoint::takeDelivered()
+std::optional<Bytes> FlowEndpoint::dequeuePayload()
 {
     const auto first = m_received.begin();
     if (first == m_received.end() || first->first != m_deliveredUpTo + 1)
--- a/src/libprotocol/flowendpoint.h
+++ b/src/libprotocol/flowendpoint.h
@@ -44,10 +44,10 @@
 
     /// Returns the segments to send now and marks them as sent: new ones within the window and those whose retransmission
     /// timeout has passed.
-    std::vector<Segment> takeDue(Millis now);
+    std::vector<Segment> collectOutgoing(Millis now);
 
-    /// When takeDue() next has a segment to send; empty when everything is acknowledged.
-    std::optional<Millis> nextDue() const;
+    /// When collectOutgoing() next has a segment to send; empty when everything is acknowledged.
+    std::optional<Millis> nextDueTime() const;
 
     /// Handles a received segment. The caller must acknowledge every segment, duplicates included.
     void receive(std::uint32_t sequence, Bytes payload);
@@ -56,7 +56,7 @@
     void acknowledge(std::uint32_t upTo, Millis now);
 
     /// Removes and returns the next payload in order; empty when it has not arrived.
-    std::optional<Bytes> takeDelivered();
+    std::optional<Bytes> dequeuePayload();
 
     /// The highest sequence number up to which every segment has arrived.
     std::uint32_t receivedUpTo() const { return m_receivedUpTo; }
--- a/src/libprotocol/framing.cpp
+++ b/src/libprotocol/framing.cpp
@@ -44,7 +44,7 @@
 
 std::optional<FrameReader::View> FrameReader::next()
 {
-    if (m_lastReason != FrameError::None)
+    if (m_lastError != FrameError::None)
         return std::nullopt;
     const std::size_t available = m_buffer.size() - m_begin;
     if (available < framePrefixBytes)
@@ -68,7 +68,7 @@
 
 std::optional<FrameReader::View> FrameReader::fail(FrameError reason)
 {
-    m_lastReason = reason;
+    m_lastError = reason;
     return std::nullopt;
 }
 
--- a/src/libprotocol/framing.h
+++ b/src/libprotocol/framing.h
@@ -78,20 +78,20 @@
 
     void append(std::span<const std::uint8_t> bytes);
 
-    /// Returns the next complete frame; empty when more bytes are needed or lastReason() is set.
+    /// Returns the next complete frame; empty when more bytes are needed or lastError() is set.
     std::optional<View> next();
 
     /// Whether unread bytes are buffered, such as part of a frame.
     bool hasPartial() const { return m_begin < m_buffer.size(); }
 
-    FrameError lastReason() const { return m_lastReason; }
+    FrameError lastError() const { return m_lastError; }
 
 private:
     std::optional<View> fail(FrameError reason);
 
     Bytes m_buffer;
     std::size_t m_begin = 0;
-    FrameError m_lastReason = FrameError::None;
+    FrameError m_lastError = FrameError::None;
 };
 
 }
--- a/src/libprotocol/link.cpp
+++ b/src/libprotocol/link.cpp
@@ -84,7 +84,7 @@
 {
     if (m_closed)
         return;
-    m_lastReason = LinkError::ClosedHere;
+    m_lastError = LinkError::ClosedHere;
     m_handlers.onClosed = nullptr;
     m_handlers.onFrame = nullptr;
     if (flush && !m_output.empty()) {
@@ -132,9 +132,9 @@
         if (m_closed)
             return;
     }
-    if (m_reader.lastReason() == FrameError::TooLarge)
+    if (m_reader.lastError() == FrameError::TooLarge)
         fail(LinkError::FrameTooLarge);
-    else if (m_reader.lastReason() != FrameError::None)
+    else if (m_reader.lastError() != FrameError::None)
         fail(LinkError::BadFrame);
 }
 
@@ -227,7 +227,7 @@
 {
     if (m_closed)
         return;
-    m_lastReason = reason;
+    m_lastError = reason;
     closeSocket();
     auto onClosed = std::move(m_handlers.onClosed);
     m_handlers = {};
--- a/src/libprotocol/link.h
+++ b/src/libprotocol/link.h
@@ -93,7 +93,7 @@
     void setSilenceLimit(Millis limit) { m_options.silenceLimit = limit; }
 
     bool isOpen() const { return !m_closed; }
-    LinkError lastReason() const { return m_lastReason; }
+    LinkError lastError() const { return m_lastError; }
     std::uint64_t droppedFrames() const { return m_droppedFrames; }
     std::uint64_t bytesSent() const { return m_bytesSent; }
     std::uint64_t bytesReceived() const { return m_bytesReceived; }
@@ -129,7 +129,7 @@
     bool m_hasReceivedFrame = false;
     bool m_closed = false;
     bool m_closeAfterFlush = false;
-    LinkError m_lastReason = LinkError::None;
+    LinkError m_lastError = LinkError::None;
 };
 
 /// Connects to an endpoint given by IP address and port. The handler receives a link that is not started yet, or the reason
--- a/tests/caller/testcaller.cpp
+++ b/tests/caller/testcaller.cpp
@@ -103,7 +103,7 @@
         flow.endpoint.acknowledge(packet->acknowledged(), 0);
         if (packet->payload())
             flow.endpoint.receive(packet->sequence(), Bytes(packet->payload()->begin(), packet->payload()->end()));
-        while (const auto payload = flow.endpoint.takeDelivered())
+        while (const auto payload = flow.endpoint.dequeuePayload())
             script(packet->flow(), *decodeMessage(*payload));
         this->packet(packet->flow(), wire::PacketKind::Ack);
     }
@@ -115,7 +115,7 @@
             if (error)
                 return;
             for (auto& [id, flow] : flows) {
-                for (const auto& segment : flow.endpoint.takeDue(0)) {
+                for (const auto& segment : flow.endpoint.collectOutgoing(0)) {
                     wire::PacketT packet;
                     packet.sequence = segment.sequence;
                     packet.payload = *segment.payload;
--- a/tests/caller/testcallerflow.cpp
+++ b/tests/caller/testcallerflow.cpp
@@ -18,7 +18,7 @@
     std::vector<std::unique_ptr<wire::PacketT>> take(Millis now)
     {
         std::vector<std::unique_ptr<wire::PacketT>> packets;
-        for (const Bytes& frame : flow.takeDue(now)) {
+        for (const Bytes& frame : flow.collectOutgoing(now)) {
             FrameReader reader;
             reader.append(frame);
             packets.emplace_back(reader.next()->frame->body_as_Packet()->UnPack());
@@ -110,7 +110,7 @@
         peer.take(6000);
         CPPUNIT_ASSERT(peer.flow.end() == CallerFlowEnd::Unanswered);
         CPPUNIT_ASSERT(!isUnexpectedLoss(peer.flow.end()));
-        CPPUNIT_ASSERT(!peer.flow.nextDue());
+        CPPUNIT_ASSERT(!peer.flow.nextDueTime());
     }
 
     // Two balancers with different rankings pass copies of an open packet to two agents, and both answer. If the second
@@ -141,7 +141,7 @@
         CPPUNIT_ASSERT_EQUAL(owner.upstream, packets[0]->owner_upstream);
         CPPUNIT_ASSERT_EQUAL(std::uint32_t { 1 }, packets[0]->sequence);
         peer.deliverSegment(1, 77, 2);
-        CPPUNIT_ASSERT(*peer.flow.takeDelivered() == Bytes { 77 });
+        CPPUNIT_ASSERT(*peer.flow.dequeuePayload() == Bytes { 77 });
         const auto acks = peer.take(2);
         CPPUNIT_ASSERT_EQUAL(std::size_t { 1 }, acks.size());
         CPPUNIT_ASSERT_EQUAL(std::uint32_t { 1 }, acks[0]->acknowledged);
@@ -235,9 +235,9 @@
         peer.reset(RefusalReason::FlowUnknown, 5, other);
         peer.deliverSegment(1, 66, 5, other);
         CPPUNIT_ASSERT(peer.flow.state() == FlowState::Open);
-        CPPUNIT_ASSERT(!peer.flow.takeDelivered());
+        CPPUNIT_ASSERT(!peer.flow.dequeuePayload());
         peer.deliverSegment(1, 77, 6);
-        CPPUNIT_ASSERT(*peer.flow.takeDelivered() == Bytes { 77 });
+        CPPUNIT_ASSERT(*peer.flow.dequeuePayload() == Bytes { 77 });
     }
 
     void closeIsSentToTheOwner()
--- a/tests/caller/testrequestcall.cpp
+++ b/tests/caller/testrequestcall.cpp
@@ -73,7 +73,7 @@
         CPPUNIT_ASSERT(answer.assembly.state() == AnswerState::Arriving);
         answer.chunk(6, " 12");
         CPPUNIT_ASSERT(answer.assembly.state() == AnswerState::Whole);
-        CPPUNIT_ASSERT_EQUAL(std::string("permit 12"), answer.assembly.takeBody());
+        CPPUNIT_ASSERT_EQUAL(std::string("permit 12"), answer.assembly.extractBody());
         Answer empty;
         empty.head("");
         CPPUNIT_ASSERT(empty.assembly.state() == AnswerState::Whole);
@@ -100,7 +100,7 @@
             row.feed(answer);
             CPPUNIT_ASSERT(answer.assembly.state() == AnswerState::Faulty);
             CPPUNIT_ASSERT(answer.assembly.fault() == row.fault);
-            CPPUNIT_ASSERT(answer.assembly.takeBody().empty());
+            CPPUNIT_ASSERT(answer.assembly.extractBody().empty());
         }
     }
 
--- a/tests/decision/testguards.cpp
+++ b/tests/decision/testguards.cpp
@@ -15,7 +15,7 @@
     CPPUNIT_TEST_SUITE(TestGuards);
     CPPUNIT_TEST(closedFlowIsNotReopened);
     CPPUNIT_TEST(misdirectedPacketDoesNotEndAFlow);
-    CPPUNIT_TEST(packetsAreHeldAfterAPause);
+    CPPUNIT_TEST(packetsAreDroppedAfterAPause);
     CPPUNIT_TEST(returnWaitsForLinkedBalancers);
     CPPUNIT_TEST(drainingAgentWaitsForCloseGrace);
     CPPUNIT_TEST(warmUpBeginsWithTheFirstSuccess);
@@ -52,16 +52,16 @@
 
     // Guards against stale packets. An agent is paused while its data centre is taken out; when it resumes, older packets
     // wait on its links before the message that says so.
-    void packetsAreHeldAfterAPause()
+    void packetsAreDroppedAfterAPause()
     {
-        PauseDetector watch;
-        const PauseDetectorOptions options { .maxGap = 1000, .dropTime = 300 };
-        recordRun(watch, options, 0);
-        recordRun(watch, options, 1000);
-        CPPUNIT_ASSERT(!isDroppingPackets(watch, 1000));
-        recordRun(watch, options, 6000);
-        CPPUNIT_ASSERT(isDroppingPackets(watch, 6299));
-        CPPUNIT_ASSERT(!isDroppingPackets(watch, 6300));
+        PauseDetector detector;
+        const PauseDetectorOptions options { .pauseThreshold = 1000, .dropTime = 300 };
+        recordRun(detector, options, 0);
+        recordRun(detector, options, 1000);
+        CPPUNIT_ASSERT(!isDroppingPackets(detector, 1000));
+        recordRun(detector, options, 6000);
+        CPPUNIT_ASSERT(isDroppingPackets(detector, 6299));
+        CPPUNIT_ASSERT(!isDroppingPackets(detector, 6300));
     }
 
     // Guards against placement by stale load. A balancer with thousands of links gets load reports only every 90 s, and all
--- a/tests/fuzz/fuzzpacket.cpp
+++ b/tests/fuzz/fuzzpacket.cpp
@@ -12,10 +12,10 @@
 {
     std::vector<std::uint8_t> packet(data, data + size);
     DecodeError error = DecodeError::None;
-    const auto head = trustAdapter().decodePacket(packet, error);
-    if (head.has_value() != (error == DecodeError::None))
+    const auto header = trustAdapter().decodePacket(packet, error);
+    if (header.has_value() != (error == DecodeError::None))
         std::abort();
-    if (!head)
+    if (!header)
         return 0;
     trustAdapter().clearMarks(packet);
     const std::vector<std::uint8_t> unmarked = packet;
--- a/tests/packets/testpeermessage.cpp
+++ b/tests/packets/testpeermessage.cpp
@@ -10,7 +10,7 @@
 class TestPeerMessage : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(TestPeerMessage);
     CPPUNIT_TEST(flowMessageRoundTrips);
-    CPPUNIT_TEST(newsRoundTrips);
+    CPPUNIT_TEST(gossipRoundTrips);
     CPPUNIT_TEST(nearAnswerAndDigestsRoundTrip);
     CPPUNIT_TEST(malformedMessagesAreRejected);
     CPPUNIT_TEST(viewRoundTrips);
@@ -35,7 +35,7 @@
         CPPUNIT_ASSERT(std::ranges::equal(message->packet, packet));
     }
 
-    void newsRoundTrips()
+    void gossipRoundTrips()
     {
         PeerMessageEncoder encoder;
         const OutageView outages { .revision = 8, .out = { "south" } };
--- a/tests/platform/testconfigapply.cpp
+++ b/tests/platform/testconfigapply.cpp
@@ -226,14 +226,14 @@
     {
         m_server->setFaults({ .down = true });
         Watched watched(m_context, m_options);
-        runUntil(m_context, [&] { return watched.watcher.lastReason() == PlatformError::NoAnswer; });
+        runUntil(m_context, [&] { return watched.watcher.lastError() == PlatformError::NoAnswer; });
         m_server->setFaults({});
         assertAccepted(apply(makeConfig()), 1);
         runUntil(m_context, [&] { return watched.seen.size() == 1; });
         CPPUNIT_ASSERT(watched.seen.back().services == makeConfig().services);
         runUntil(m_context, [this] { return m_server->calls().waitingWatches == 1; });
         m_server->setFaults({ .down = true, .hang = true });
-        runUntil(m_context, [&] { return watched.watcher.lastReason() == PlatformError::NoAnswer; });
+        runUntil(m_context, [&] { return watched.watcher.lastError() == PlatformError::NoAnswer; });
         m_server->setFaults({});
         assertAccepted(setDataCentreOut("south", true), 2);
         runUntil(m_context, [&] { return watched.seen.size() == 2; });
@@ -300,7 +300,7 @@
         Watched watched(m_context, m_options);
         runUntil(m_context, [&] { return watched.seen.size() == 1; });
         m_server->setFaults({ .down = true });
-        runUntil(m_context, [&] { return watched.watcher.lastReason() != PlatformError::None; });
+        runUntil(m_context, [&] { return watched.watcher.lastError() != PlatformError::None; });
         Manifest manifest = *parseManifest(*m_server->store().get(manifestKind, manifestName)->value);
         for (int index = 0; index < 4; ++index) {
             ++manifest.version;
--- a/tests/platform/testmembership.cpp
+++ b/tests/platform/testmembership.cpp
@@ -191,7 +191,7 @@
         const auto leaseListsBefore = countCalls("GET", "/objects/lease\"");
         runUntil(m_context, [&] { return countCalls("GET", "/objects/lease\"") >= leaseListsBefore + 2; });
         m_server->setFaults({ .down = true });
-        runUntil(m_context, [&] { return watched.watcher.lastReason() != PlatformError::None; });
+        runUntil(m_context, [&] { return watched.watcher.lastError() != PlatformError::None; });
         m_context.run_for(std::chrono::milliseconds(2 * lease));
         const unsigned reports = watched.reports;
         const auto leaseLists = countCalls("GET", "/objects/lease\"");
--- a/tests/protocol/testflowendpoint.cpp
+++ b/tests/protocol/testflowendpoint.cpp
@@ -30,7 +30,7 @@
             CPPUNIT_ASSERT(sender.send(numbered(number)));
         std::uint32_t delivered = 0;
         for (Millis now = 0; now < 200000 && delivered < count; now += 10) {
-            auto due = sender.takeDue(now);
+            auto due = sender.collectOutgoing(now);
             std::shuffle(due.begin(), due.end(), random);
             for (const auto& segment : due) {
                 const auto outcome = random() % 6;
@@ -40,7 +40,7 @@
                 if (outcome == 2)
                     receiver.receive(segment.sequence, *segment.payload);
             }
-            while (const auto payload = receiver.takeDelivered())
+            while (const auto payload = receiver.dequeuePayload())
                 CPPUNIT_ASSERT(*payload == numbered(delivered++));
             if (random() % 3)
                 sender.acknowledge(receiver.receivedUpTo(), now + 3);
--- a/tests/protocol/testframing.cpp
+++ b/tests/protocol/testframing.cpp
@@ -40,7 +40,7 @@
         std::fill(bytes.begin() + framePrefixBytes, bytes.end(), 0xee);
         reader.append(bytes);
         CPPUNIT_ASSERT(!reader.next());
-        CPPUNIT_ASSERT(reader.lastReason() == FrameError::Malformed);
+        CPPUNIT_ASSERT(reader.lastError() == FrameError::Malformed);
         reader.append(heartbeat());
         CPPUNIT_ASSERT(!reader.next());
     }
@@ -51,7 +51,7 @@
         const Bytes prefix { 0xff, 0xff, 0xff, 0x7f };
         reader.append(prefix);
         CPPUNIT_ASSERT(!reader.next());
-        CPPUNIT_ASSERT(reader.lastReason() == FrameError::TooLarge);
+        CPPUNIT_ASSERT(reader.lastError() == FrameError::TooLarge);
     }
 };
 
--- a/tests/soak/soakcaller.cpp
+++ b/tests/soak/soakcaller.cpp
@@ -81,15 +81,15 @@
 void SoakCaller::handlePacket(std::span<const std::uint8_t> packet)
 {
     DecodeError error = DecodeError::None;
-    const auto head = trustAdapter().decodePacket(packet, error);
-    if (!head)
+    const auto header = trustAdapter().decodePacket(packet, error);
+    if (!header)
         return;
-    const std::string name = toString(flowFromUpstream(*head));
+    const std::string name = toString(flowFromUpstream(*header));
     const auto found = m_flows.find(name);
     if (found == m_flows.end())
         return;
     Flow& flow = found->second;
-    if (head->flags.resets) {
+    if (header->flags.resets) {
         ++m_counts.resets;
         if (flow.isOpen)
             m_promises.checkReset(name, flow.answerSequence);
@@ -100,15 +100,15 @@
         m_promises.recordViolation(Promise::Untouched, "packet with an invalid checksum at the caller of " + name);
         return;
     }
-    if (head->flags.opens && !flow.isOpen) {
+    if (header->flags.opens && !flow.isOpen) {
         flow.isOpen = true;
         ++m_counts.opened;
-        flow.answerSequence = head->sequence;
+        flow.answerSequence = header->sequence;
         flow.nextSequence = firstSequence + 1;
         sendRequest(flow);
-    } else if (head->flags.ends) {
+    } else if (header->flags.ends) {
         endFlow(name);
-    } else if (flow.isOpen && head->dataLength > 0) {
+    } else if (flow.isOpen && header->dataLength > 0) {
         handleAnswer(flow, payloadOf(packet));
     }
 }
--- a/tests/soak/soakupstream.cpp
+++ b/tests/soak/soakupstream.cpp
@@ -50,39 +50,39 @@
 void SoakUpstream::handlePacket(std::span<std::uint8_t> packet)
 {
     DecodeError error = DecodeError::None;
-    const auto head = trustAdapter().decodePacket(packet, error);
-    if (!head || !hasValidChecksum(packet)) {
+    const auto header = trustAdapter().decodePacket(packet, error);
+    if (!header || !hasValidChecksum(packet)) {
         m_promises.recordViolation(Promise::Untouched, "packet with an invalid header or checksum at " + m_options.host);
         return;
     }
-    const FlowKey flow = flowFromCaller(*head);
+    const FlowKey flow = flowFromCaller(*header);
     const std::string name = toString(flow);
-    if (isOpening(*head)) {
+    if (isOpening(*header)) {
         const auto [found, isNew] = m_flows.try_emplace(name, Flow { .sequence = static_cast<std::uint32_t>(m_random()) });
         if (isNew)
-            m_promises.recordOpening(m_options.host, m_options.service, m_options.dataCentre, head->destination);
+            m_promises.recordOpening(m_options.host, m_options.service, m_options.dataCentre, header->destination);
         m_promises.recordAnswer(name, found->second.sequence, m_options.host, m_processNumber);
-        send({ .source = flow.service, .destination = flow.caller, .flags = { .opens = true, .acknowledges = true }, .sequence = found->second.sequence, .acknowledged = head->sequence + 1 });
+        send({ .source = flow.service, .destination = flow.caller, .flags = { .opens = true, .acknowledges = true }, .sequence = found->second.sequence, .acknowledged = header->sequence + 1 });
         return;
     }
     const auto found = m_flows.find(name);
-    const bool isHeld = found != m_flows.end() && head->acknowledged - found->second.sequence < 100000;
+    const bool isHeld = found != m_flows.end() && header->acknowledged - found->second.sequence < 100000;
     if (!isHeld) {
         returnPacket(packet);
         return;
     }
-    if (head->flags.ends) {
-        send({ .source = flow.service, .destination = flow.caller, .flags = { .acknowledges = true, .ends = true }, .sequence = found->second.sequence, .acknowledged = head->sequence + 1 });
+    if (header->flags.ends) {
+        send({ .source = flow.service, .destination = flow.caller, .flags = { .acknowledges = true, .ends = true }, .sequence = found->second.sequence, .acknowledged = header->sequence + 1 });
         return;
     }
-    if (head->dataLength > 0)
-        answerData(flow, found->second, *head, payloadOf(packet));
+    if (header->dataLength > 0)
+        answerData(flow, found->second, *header, payloadOf(packet));
 }
 
 // The answer repeats the text of the request. A request that is sent again is answered again.
-void SoakUpstream::answerData(const FlowKey& flow, Flow& state, const PacketHeader& head, const std::string& data)
+void SoakUpstream::answerData(const FlowKey& flow, Flow& state, const PacketHeader& header, const std::string& data)
 {
-    state.received = head.sequence + head.dataLength;
+    state.received = header.sequence + header.dataLength;
     send({
         .source = flow.service,
         .destination = flow.caller,
--- a/tests/soak/soakupstream.h
+++ b/tests/soak/soakupstream.h
@@ -39,7 +39,7 @@
     };
 
     void handlePacket(std::span<std::uint8_t> packet);
-    void answerData(const FlowKey& flow, Flow& state, const PacketHeader& head, const std::string& data);
+    void answerData(const FlowKey& flow, Flow& state, const PacketHeader& header, const std::string& data);
     void returnPacket(std::span<std::uint8_t> packet);
     void send(const PacketFields& fields);
     void sendReport();
--- a/tests/trustplatform/testtrustplatform.cpp
+++ b/tests/trustplatform/testtrustplatform.cpp
@@ -34,11 +34,11 @@
     void decodesDocumentedPacket()
     {
         DecodeError error = DecodeError::None;
-        const auto head = m_adapter.decodePacket(openingPacket(), error);
-        CPPUNIT_ASSERT(head && isOpening(*head));
-        CPPUNIT_ASSERT_EQUAL(std::string("100.64.0.7:40001>198.18.0.1:443"), toString(flowFromCaller(*head)));
-        CPPUNIT_ASSERT_EQUAL(0x11223344U, head->sequence);
-        CPPUNIT_ASSERT_EQUAL(std::uint16_t { 0 }, head->dataLength);
+        const auto header = m_adapter.decodePacket(openingPacket(), error);
+        CPPUNIT_ASSERT(header && isOpening(*header));
+        CPPUNIT_ASSERT_EQUAL(std::string("100.64.0.7:40001>198.18.0.1:443"), toString(flowFromCaller(*header)));
+        CPPUNIT_ASSERT_EQUAL(0x11223344U, header->sequence);
+        CPPUNIT_ASSERT_EQUAL(std::uint16_t { 0 }, header->dataLength);
     }
 
     void clearMarksRestoresPacket()
